--- a/components/decide/src/admitting.rs
+++ b/components/decide/src/admitting.rs
@@ -13,12 +13,12 @@
 use slotmap::{SlotMap, new_key_type};
 
 use crate::admitting::estimate::{DecayingPeak, ServiceEstimate};
-use crate::admitting::link::LinkRoom;
+use crate::admitting::link::LinkLimit;
 use crate::admitting::queue::FlowQueue;
 use crate::admitting::urgency::UrgencyQueue;
 use crate::admitting::urgent::urgency_of;
 use crate::backoff::draw_between;
-use crate::{CLASSES, WorkClass, WorkKey, class_index};
+use crate::{CLASS_COUNT, WorkClass, WorkKey, class_index};
 
 pub use crate::admitting::outcome::{Admission, AdmitFigures, Refusal, RefusalReason, Released};
 pub use crate::admitting::settings::{GuardSettings, QueueOrder};
@@ -80,14 +80,14 @@
 /// it. At twice the capacity with deadlines of 2.5 service times, 5.3 % of sends were refused only
 /// after they had been queued at a factor of one, 2.6 % at 1.5 and 0.9 % at two, and the most calls
 /// were served in time at two.
-const OVERTAKING: u32 = 2;
+const OVERTAKING_FACTOR: u32 = 2;
 
 /// Where an admitted request stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CallStage {
     Queued,
     /// Waits for an empty server.
-    AwaitsEmpty,
+    AwaitsEmptyServer,
     /// Runs since this time.
     Running(Duration),
 }
@@ -106,7 +106,7 @@
 
 /// The trial that has or wants the server for itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum TrialHold {
+enum TrialState {
     None,
     Waiting(Ticket),
     /// The server is kept empty beside it until this time.
@@ -117,9 +117,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GuardState {
     /// Requests that run, short and long.
-    pub running: [u32; CLASSES],
+    pub running: [u32; CLASS_COUNT],
     /// Requests in the queue, short and long.
-    pub queued: [u32; CLASSES],
+    pub queued: [u32; CLASS_COUNT],
     /// Slots in use now: fewer than the settings give while the server is cold.
     pub slots: u32,
     /// Whether new requests are refused because the server drains.
@@ -127,7 +127,7 @@
 }
 
 impl GuardState {
-    /// Tells whether no request runs or waits.
+    /// Returns whether no request runs or waits.
     pub fn is_idle(&self) -> bool {
         self.running.iter().chain(&self.queued).all(|count| *count == 0)
     }
@@ -139,22 +139,22 @@
     settings: GuardSettings,
     started_at: Duration,
     calls: SlotMap<Ticket, GuardedCall>,
-    queues: [FlowQueue; CLASSES],
-    urgent: [UrgencyQueue; CLASSES],
-    running: [u32; CLASSES],
-    estimates: [ServiceEstimate; CLASSES],
+    queues: [FlowQueue; CLASS_COUNT],
+    urgent: [UrgencyQueue; CLASS_COUNT],
+    running: [u32; CLASS_COUNT],
+    estimates: [ServiceEstimate; CLASS_COUNT],
     /// Estimates by kind of work, where requests are ordered by urgency.
     work_estimates: HashMap<WorkKey, ServiceEstimate>,
     /// Slots that short work has lately used at once.
     short_peak: DecayingPeak,
-    trial: TrialHold,
+    trial: TrialState,
     /// What long work leaves of the instance's link.
-    link: LinkRoom,
+    link: LinkLimit,
     is_draining: bool,
 }
 
 impl AdmissionGuard {
-    /// Makes the guard of a server that started at `started_at`, zero for one that is warm.
+    /// Creates the guard of a server that started at `started_at`, zero for one that is warm.
     pub fn new(settings: GuardSettings, started_at: Duration) -> Self {
         Self {
             settings,
@@ -162,12 +162,12 @@
             calls: SlotMap::with_key(),
             queues: Default::default(),
             urgent: Default::default(),
-            running: [0; CLASSES],
+            running: [0; CLASS_COUNT],
             estimates: Default::default(),
             work_estimates: HashMap::new(),
             short_peak: DecayingPeak::default(),
-            trial: TrialHold::None,
-            link: LinkRoom::default(),
+            trial: TrialState::None,
+            link: LinkLimit::default(),
             is_draining: false,
         }
     }
@@ -193,10 +193,10 @@
             latest_start,
             late_reason,
         });
-        self.note_short_demand(class, now);
+        self.record_short_demand(class, now);
         match request.alone {
-            true => self.enter_trial(ticket, now),
-            false if self.has_room(class, now) => self.enter_running(ticket, now),
+            true => self.admit_trial(ticket, now),
+            false if self.has_room(class, now) => self.admit_running(ticket, now),
             false => {
                 let index = class_index(class);
                 match self.settings.order {
@@ -220,8 +220,8 @@
         let urgent = std::mem::take(&mut self.urgent);
         let waiting = waiting.into_iter().chain(urgent.iter().flat_map(UrgencyQueue::tickets));
         released.refused.extend(waiting.map(|ticket| (ticket, RefusalReason::Draining)));
-        if let TrialHold::Waiting(ticket) = self.trial {
-            self.trial = TrialHold::None;
+        if let TrialState::Waiting(ticket) = self.trial {
+            self.trial = TrialState::None;
             released.refused.push((ticket, RefusalReason::Draining));
         }
         for (ticket, _) in &released.refused {
@@ -230,7 +230,7 @@
         released
     }
 
-    /// Makes the refusal for a reason, with a time to come back that is spread over a window, so
+    /// Creates the refusal for a reason, with a time to come back that is spread over a window, so
     /// that callers refused in one burst don't return in one.
     pub fn refuse(
         &self,
@@ -240,7 +240,7 @@
     ) -> Refusal {
         let settings = &self.settings;
         let least = match reason {
-            RefusalReason::ColdStart => self.cold_left(now).min(settings.retry_least),
+            RefusalReason::ColdStart => self.warm_up_left(now).min(settings.retry_least),
             RefusalReason::Draining | RefusalReason::Busy => Duration::ZERO,
             _ => settings.retry_least,
         };
@@ -248,7 +248,7 @@
         Refusal { reason, retry_after, figures: None }
     }
 
-    /// Makes the refusal of a request at its offer, with what it was decided by.
+    /// Creates the refusal of a request at its offer, with what it was decided by.
     fn refuse_offer(
         &self,
         request: &GuardRequest,
@@ -260,13 +260,13 @@
         Refusal { figures, ..self.refuse(reason, now, rng) }
     }
 
-    /// Tells whether a request runs as a trial with the server kept empty beside it. Asked when the
+    /// Returns whether a request runs as a trial with the server kept empty beside it. Asked when the
     /// server dies, for [`crate::quarantine::CrashReport::is_trial`].
     pub fn is_trial(&self, ticket: Ticket) -> bool {
-        matches!(self.trial, TrialHold::Running(held, _) if held == ticket)
+        matches!(self.trial, TrialState::Running(trial, _) if trial == ticket)
     }
 
-    /// Gives the counts.
+    /// Returns the counts.
     pub fn state(&self, now: Duration) -> GuardState {
         GuardState {
             running: self.running,
@@ -276,7 +276,7 @@
         }
     }
 
-    /// Gives the load to report to other daemons: zero when idle, one with all slots taken and the
+    /// Returns the load to report to other daemons: zero when idle, one with all slots taken and the
     /// short queue half full.
     pub fn load(&self, now: Duration) -> f64 {
         let queued = f64::from(self.queued(WorkClass::Short) + self.queued(WorkClass::Long));
@@ -285,7 +285,7 @@
         (busy / full).min(1.0)
     }
 
-    /// Gives what a decision on a request that could wait is made by. One that may not wait is only
+    /// Returns what a decision on a request that could wait is made by. One that may not wait is only
     /// told whether a slot is free.
     fn figures(&self, request: &GuardRequest, now: Duration) -> Option<AdmitFigures> {
         if request.most_wait == Some(Duration::ZERO) {
@@ -302,7 +302,7 @@
         })
     }
 
-    /// Tells why a request cannot be taken, if so.
+    /// Returns why a request cannot be taken, if so.
     fn refusal_reason(&self, request: &GuardRequest, now: Duration) -> Option<RefusalReason> {
         let class = request.class;
         let service = self.service_time(request, now);
@@ -313,22 +313,22 @@
         match request {
             _ if self.is_draining => Some(RefusalReason::Draining),
             _ if left.is_zero() || service > left => Some(RefusalReason::DeadlineTooNear),
-            _ if request.alone && self.trial != TrialHold::None => {
+            _ if request.alone && self.trial != TrialState::None => {
                 Some(RefusalReason::TrialUnderWay)
             }
             _ if has_room || request.alone => None,
-            _ if self.would_outwait(request, now) => Some(RefusalReason::Busy),
-            _ if self.settings.order == QueueOrder::Urgent => self.urgent_reason(request, now),
-            _ if queue.len() >= limit => Some(self.full_reason(now)),
+            _ if self.exceeds_max_wait(request, now) => Some(RefusalReason::Busy),
+            _ if self.settings.order == QueueOrder::Urgent => self.urgent_refusal_reason(request, now),
+            _ if queue.len() >= limit => Some(self.queue_full_reason(now)),
             _ if !queue.has_share(request.flow, limit) => Some(RefusalReason::ShareExceeded),
-            _ if self.expected_wait(request, now) + self.careful(class, now) > left => {
+            _ if self.expected_wait(request, now) + self.high_estimate(class, now) > left => {
                 Some(RefusalReason::DeadlineTooNear)
             }
             _ => None,
         }
     }
 
-    /// Gives how long a request would wait for a slot.
+    /// Returns how long a request would wait for a slot.
     fn slot_wait(&self, request: &GuardRequest, now: Duration) -> Duration {
         match self.settings.order {
             QueueOrder::Fair => self.expected_wait(request, now),
@@ -336,8 +336,8 @@
         }
     }
 
-    /// Tells whether a request would wait for longer than it may.
-    fn would_outwait(&self, request: &GuardRequest, now: Duration) -> bool {
+    /// Returns whether a request would wait for longer than it may.
+    fn exceeds_max_wait(&self, request: &GuardRequest, now: Duration) -> bool {
         let is_over = |most: Duration| most.is_zero() || self.slot_wait(request, now) > most;
         request.most_wait.is_some_and(is_over)
     }
@@ -349,7 +349,7 @@
         }
     }
 
-    /// Gives the usual time of a kind of work, or of its class while the kind is not known.
+    /// Returns the usual time of a kind of work, or of its class while the kind is not known.
     fn work_time(&self, work: WorkKey, class: WorkClass, now: Duration) -> Duration {
         match self.work_estimates.get(&work) {
             Some(estimate) => estimate.expected(now),
@@ -362,14 +362,14 @@
         self.queues[index].len() + self.urgent[index].len()
     }
 
-    fn full_reason(&self, now: Duration) -> RefusalReason {
-        match self.cold_left(now).is_zero() {
+    fn queue_full_reason(&self, now: Duration) -> RefusalReason {
+        match self.warm_up_left(now).is_zero() {
             true => RefusalReason::QueueFull,
             false => RefusalReason::ColdStart,
         }
     }
 
-    /// Gives the time a request would wait in the queue: the work ahead of it in the order of
+    /// Returns the time a request would wait in the queue: the work ahead of it in the order of
     /// [`FlowQueue`], over the slots its class can count on.
     fn expected_wait(&self, request: &GuardRequest, now: Duration) -> Duration {
         let class = request.class;
@@ -379,53 +379,53 @@
             WorkClass::Long => self.long_limit(now),
             WorkClass::Short => self.slots(now) - long.min(self.long_limit(now)),
         };
-        self.estimate(class, now) * ((ahead + 1) * OVERTAKING) / slots.max(1)
+        self.estimate(class, now) * ((ahead + 1) * OVERTAKING_FACTOR) / slots.max(1)
     }
 
     fn estimate(&self, class: WorkClass, now: Duration) -> Duration {
         self.estimates[class_index(class)].expected(now)
     }
 
-    /// Gives the service time to plan with for a request that would queue. It can still go
+    /// Returns the service time to plan with for a request that would queue. It can still go
     /// elsewhere, so it is only kept if it will very likely be in time; one that could start at once
     /// is given its chance if it is likelier than not.
-    fn careful(&self, class: WorkClass, now: Duration) -> Duration {
-        self.estimates[class_index(class)].careful(now)
+    fn high_estimate(&self, class: WorkClass, now: Duration) -> Duration {
+        self.estimates[class_index(class)].high_estimate(now)
     }
 
     fn running_count(&self) -> u32 {
         self.running.iter().sum()
     }
 
-    /// Gives the slots in use: all of a warm server, a growing part of a cold one. A cold server
+    /// Returns the slots in use: all of a warm server, a growing part of a cold one. A cold server
     /// that gets a full load at once serves all of it too late.
     fn slots(&self, now: Duration) -> u32 {
         let slots = self.settings.slots.max(1);
         let whole = self.settings.warm_up.as_secs_f64().max(f64::EPSILON);
-        let cold = self.cold_left(now).as_secs_f64() / whole;
+        let cold = self.warm_up_left(now).as_secs_f64() / whole;
         // Rounding a number between zero and the slots.
-        let held_back = (f64::from(slots) * cold * self.settings.cold_hold).floor() as u32;
-        (slots - held_back.min(slots)).max(1)
+        let reserved = (f64::from(slots) * cold * self.settings.cold_hold).floor() as u32;
+        (slots - reserved.min(slots)).max(1)
     }
 
-    fn cold_left(&self, now: Duration) -> Duration {
+    fn warm_up_left(&self, now: Duration) -> Duration {
         match self.started_at {
             Duration::ZERO => Duration::ZERO,
             started_at => (started_at + self.settings.warm_up).saturating_sub(now),
         }
     }
 
-    /// Gives the slots that long work may hold: its share, or more while short work needs fewer,
+    /// Returns the slots that long work may hold: its share, or more while short work needs fewer,
     /// but always one less than there are. The one slot kept lets the first short request after a
     /// pause run at once, rather than wait out a document.
     fn long_limit(&self, now: Duration) -> u32 {
         let slots = self.slots(now);
         let share = self.settings.long_share_of(slots);
         let needed = self.short_peak.level(now).ceil() as u32 + 1;
-        share.max(slots.saturating_sub(needed)).min(self.link.most()).max(1)
+        share.max(slots.saturating_sub(needed)).min(self.link.max_running()).max(1)
     }
 
-    /// Tells whether a request of a class could start at once without passing one that waits.
+    /// Returns whether a request of a class could start at once without passing one that waits.
     fn has_room(&self, class: WorkClass, now: Duration) -> bool {
         let waits = self.queued(class) > 0;
         !waits && self.may_start(class, now)
@@ -433,10 +433,10 @@
 
     fn may_start(&self, class: WorkClass, now: Duration) -> bool {
         let within = class == WorkClass::Short || self.running[1] < self.long_limit(now);
-        self.trial == TrialHold::None && self.running_count() < self.slots(now) && within
+        self.trial == TrialState::None && self.running_count() < self.slots(now) && within
     }
 
-    fn note_short_demand(&mut self, class: WorkClass, now: Duration) {
+    fn record_short_demand(&mut self, class: WorkClass, now: Duration) {
         if class == WorkClass::Short {
             let demand = self.running[0] + self.queued(WorkClass::Short) + 1;
             self.short_peak.raise(f64::from(demand.min(self.settings.slots)), now);
--- a/components/decide/src/admitting/estimate.rs
+++ b/components/decide/src/admitting/estimate.rs
@@ -7,7 +7,7 @@
 const SAMPLE_WEIGHT: u32 = 8;
 /// Deviations added to the mean for a request that would queue. Covers evenly spread service times
 /// whole; exponential ones in eleven of twelve cases.
-const CAREFUL_DEVIATIONS: u32 = 2;
+const HIGH_ESTIMATE_DEVIATIONS: u32 = 2;
 /// Time without a sample in which an estimate halves. Without it an estimate above all deadlines
 /// would refuse everything, get no sample and stay for good.
 const ESTIMATE_HALVING: Duration = Duration::from_secs(1);
@@ -42,17 +42,17 @@
         self.last_sample = now;
     }
 
-    /// Gives the expected service time, lower the longer no sample came.
+    /// Returns the expected service time, lower the longer no sample came.
     pub(crate) fn expected(&self, now: Duration) -> Duration {
-        self.mean / self.fading(now)
+        self.mean / self.decay_divisor(now)
     }
 
-    /// Gives a service time that few requests exceed.
-    pub(super) fn careful(&self, now: Duration) -> Duration {
-        (self.mean + self.deviation * CAREFUL_DEVIATIONS) / self.fading(now)
+    /// Returns a service time that few requests exceed.
+    pub(super) fn high_estimate(&self, now: Duration) -> Duration {
+        (self.mean + self.deviation * HIGH_ESTIMATE_DEVIATIONS) / self.decay_divisor(now)
     }
 
-    fn fading(&self, now: Duration) -> u32 {
+    fn decay_divisor(&self, now: Duration) -> u32 {
         let idle = now.saturating_sub(self.last_sample).as_millis();
         let halvings = u32::try_from(idle / ESTIMATE_HALVING.as_millis()).unwrap_or(u32::MAX);
         1 << halvings.min(MAX_HALVINGS)
@@ -73,7 +73,7 @@
         self.at = now;
     }
 
-    /// Gives the peak as it has fallen by `now`.
+    /// Returns the peak as it has fallen by `now`.
     pub(super) fn level(&self, now: Duration) -> f64 {
         let halvings = now.saturating_sub(self.at).as_secs_f64() / PEAK_HALVING.as_secs_f64();
         self.peak * (-halvings).exp2()
--- a/components/decide/src/admitting/queue.rs
+++ b/components/decide/src/admitting/queue.rs
@@ -11,7 +11,7 @@
     tickets: VecDeque<Ticket>,
     running: u32,
     /// Turn in which it was last served.
-    served: u64,
+    last_served: u64,
 }
 
 /// The queue of one class. The next to run is of the team with the fewest running, in it of the
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct FlowQueue {
     flows: Vec<ActiveFlow>,
-    turn: u64,
+    serve_count: u64,
     len: u32,
 }
 
@@ -33,15 +33,15 @@
         self.len
     }
 
-    /// Tells whether a caller may queue another request when `limit` are allowed in all.
+    /// Returns whether a caller may queue another request when `limit` are allowed in all.
     ///
     /// A team may queue as many as there are places free, and a caller as many as its team then has
     /// left. So one hot caller gets a third of the queue and one hot team half, and for others there
     /// is always room, without knowing beforehand how many there will be.
     pub(super) fn has_share(&self, key: FlowKey, limit: u32) -> bool {
         let team_room = limit.saturating_sub(self.len);
-        let caller_room = team_room.saturating_sub(self.team_len(key.team));
-        self.flow_len(key) < caller_room
+        let caller_room = team_room.saturating_sub(self.team_queued(key.team));
+        self.flow_queued(key) < caller_room
     }
 
     pub(super) fn push(&mut self, key: FlowKey, ticket: Ticket) {
@@ -54,36 +54,36 @@
         let waiting = self.flows.iter().enumerate().filter(|(_, flow)| !flow.tickets.is_empty());
         let (index, _) = waiting.min_by_key(|(_, flow)| {
             let team = flow.key.team;
-            (self.team_running(team), self.team_served(team), flow.running, flow.served)
+            (self.team_running(team), self.team_last_served(team), flow.running, flow.last_served)
         })?;
-        self.turn += 1;
+        self.serve_count += 1;
         self.len -= 1;
         let flow = &mut self.flows[index];
-        flow.served = self.turn;
+        flow.last_served = self.serve_count;
         flow.tickets.pop_front()
     }
 
     /// Takes out a given ticket of a caller.
     pub(super) fn remove(&mut self, key: FlowKey, ticket: Ticket) {
         let tickets = &mut self.flow_mut(key).tickets;
-        let place = tickets.iter().position(|held| *held == ticket);
+        let place = tickets.iter().position(|queued| *queued == ticket);
         if place.and_then(|place| tickets.remove(place)).is_some() {
             self.len -= 1;
         }
-        self.forget_idle();
+        self.drop_idle_flows();
     }
 
-    /// Gives all tickets, in no order that matters.
+    /// Returns all tickets, in no order that matters.
     pub(super) fn tickets(&self) -> impl Iterator<Item = Ticket> {
         self.flows.iter().flat_map(|flow| flow.tickets.iter().copied())
     }
 
-    /// Gives how many of the queued would start before a new ticket of a caller if all take turns:
+    /// Returns how many of the queued would start before a new ticket of a caller if all take turns:
     /// of each other team as many as this one has and one more, and the same among its callers.
     pub(super) fn ahead_of(&self, key: FlowKey) -> u32 {
-        let (team_len, own_len) = (self.team_len(key.team), self.flow_len(key));
+        let (team_queued, own_queued) = (self.team_queued(key.team), self.flow_queued(key));
         let siblings = self.flows.iter().filter(|flow| flow.key.team == key.team);
-        let in_team: u32 = siblings.map(|flow| queued(flow).min(own_len + 1)).sum();
+        let in_team: u32 = siblings.map(|flow| queued_count(flow).min(own_queued + 1)).sum();
         // Each team's queued, capped, is counted at its first caller only.
         let is_first =
             |index: usize, team| self.flows[..index].iter().all(|earlier| earlier.key.team != team);
@@ -92,7 +92,7 @@
                 flow.key.team != key.team && is_first(*index, flow.key.team)
             });
         let in_others: u32 =
-            others.map(|(_, flow)| self.team_len(flow.key.team).min(team_len + 1)).sum();
+            others.map(|(_, flow)| self.team_queued(flow.key.team).min(team_queued + 1)).sum();
         in_team + in_others
     }
 
@@ -102,44 +102,44 @@
 
     pub(super) fn count_end(&mut self, key: FlowKey) {
         self.flow_mut(key).running -= 1;
-        self.forget_idle();
+        self.drop_idle_flows();
     }
 
     fn flow_mut(&mut self, key: FlowKey) -> &mut ActiveFlow {
         let index = self.flows.iter().position(|flow| flow.key == key).unwrap_or_else(|| {
-            let (tickets, served) = (VecDeque::new(), self.turn);
-            self.flows.push(ActiveFlow { key, tickets, running: 0, served });
+            let (tickets, last_served) = (VecDeque::new(), self.serve_count);
+            self.flows.push(ActiveFlow { key, tickets, running: 0, last_served });
             self.flows.len() - 1
         });
         &mut self.flows[index]
     }
 
-    fn forget_idle(&mut self) {
+    fn drop_idle_flows(&mut self) {
         self.flows.retain(|flow| flow.running > 0 || !flow.tickets.is_empty());
     }
 
-    fn flow_len(&self, key: FlowKey) -> u32 {
-        self.flows.iter().find(|flow| flow.key == key).map_or(0, queued)
+    fn flow_queued(&self, key: FlowKey) -> u32 {
+        self.flows.iter().find(|flow| flow.key == key).map_or(0, queued_count)
     }
 
     fn team(&self, team: TeamKey) -> impl Iterator<Item = &ActiveFlow> {
         self.flows.iter().filter(move |flow| flow.key.team == team)
     }
 
-    fn team_len(&self, team: TeamKey) -> u32 {
-        self.team(team).map(queued).sum()
+    fn team_queued(&self, team: TeamKey) -> u32 {
+        self.team(team).map(queued_count).sum()
     }
 
     fn team_running(&self, team: TeamKey) -> u32 {
         self.team(team).map(|flow| flow.running).sum()
     }
 
-    fn team_served(&self, team: TeamKey) -> u64 {
-        self.team(team).map(|flow| flow.served).max().unwrap_or_default()
+    fn team_last_served(&self, team: TeamKey) -> u64 {
+        self.team(team).map(|flow| flow.last_served).max().unwrap_or_default()
     }
 }
 
-/// Gives the queued requests of a caller, which the queue's limit bounds.
-fn queued(flow: &ActiveFlow) -> u32 {
+/// Returns the queued requests of a caller, which the queue's limit bounds.
+fn queued_count(flow: &ActiveFlow) -> u32 {
     flow.tickets.len() as u32
 }
--- a/components/decide/src/admitting/release.rs
+++ b/components/decide/src/admitting/release.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::admitting::{
-    Admission, AdmissionGuard, CallStage, QueueOrder, RefusalReason, Released, Ticket, TrialHold,
+    Admission, AdmissionGuard, CallStage, QueueOrder, RefusalReason, Released, Ticket, TrialState,
     urgency::UrgencyQueue,
 };
 use crate::{WorkClass, WorkKey, class_index};
@@ -12,7 +12,7 @@
 const MAX_WORK_KINDS: usize = 256;
 
 impl AdmissionGuard {
-    /// Takes note that a running request ended, and gives those that leave the queue for it. A
+    /// Records that a running request ended, and gives those that leave the queue for it. A
     /// ticket that has ended before changes nothing.
     pub fn finish(&mut self, ticket: Ticket, now: Duration) -> Released {
         if let Some(call) = self.calls.get(ticket)
@@ -21,15 +21,15 @@
             let (class, work) = (call.class, call.work);
             let took = now.saturating_sub(since);
             self.estimates[class_index(class)].add(took, now);
-            self.note_work(work, took, now);
+            self.record_work(work, took, now);
             if class == WorkClass::Long {
-                self.link.note_end();
+                self.link.record_end();
             }
         }
         self.cancel(ticket, now)
     }
 
-    fn note_work(&mut self, work: WorkKey, took: Duration, now: Duration) {
+    fn record_work(&mut self, work: WorkKey, took: Duration, now: Duration) {
         if self.settings.order == QueueOrder::Urgent {
             if self.work_estimates.len() >= MAX_WORK_KINDS {
                 // Routes that were withdrawn leave theirs behind; the others are learnt in seconds.
@@ -39,65 +39,65 @@
         }
     }
 
-    /// Takes note that the caller of a request left, whether it ran or waited. Its time is not
+    /// Records that the caller of a request left, whether it ran or waited. Its time is not
     /// counted as a service time.
     pub fn cancel(&mut self, ticket: Ticket, now: Duration) -> Released {
         self.remove(ticket);
         self.expire(now)
     }
 
-    /// Gives the queued requests that can start now and those that no longer could finish in time.
+    /// Returns the queued requests that can start now and those that no longer could finish in time.
     /// To be called at [`AdmissionGuard::next_expiry`].
     pub fn expire(&mut self, now: Duration) -> Released {
         let mut released = Released::default();
-        self.end_trial_hold(now);
+        self.end_trial_exclusivity(now);
         self.refuse_late(now, &mut released);
-        while let Some(ticket) = self.next_ready(now) {
+        while let Some(ticket) = self.take_next_startable(now) {
             self.set_running(ticket, now);
             released.start.push(ticket);
         }
         released
     }
 
-    /// Takes note of how many large answers wait for the instance's link, and gives those that leave
+    /// Records how many large answers wait for the instance's link, and gives those that leave
     /// the queue. To be called when the number changes.
     pub fn set_held_back(&mut self, answers: usize, now: Duration) -> Released {
         if !self.settings.bounds_by_link {
             return Released::default();
         }
-        let before = self.link.held_back();
-        self.link.set_held_back(answers, self.running[class_index(WorkClass::Long)]);
+        let before = self.link.waiting_answers();
+        self.link.set_waiting_answers(answers, self.running[class_index(WorkClass::Long)]);
         match answers < before {
             true => self.expire(now),
             false => Released::default(),
         }
     }
 
-    /// Gives the time at which a queued request will have waited too long, or a trial's hold on the
+    /// Returns the time at which a queued request will have waited too long, or a trial's hold on the
     /// server ends, if there is any.
     pub fn next_expiry(&self) -> Option<Duration> {
         let queued = self.waiting().filter_map(|ticket| self.calls.get(ticket));
         let latest = queued.map(|call| call.latest_start);
         match self.trial {
-            TrialHold::Running(_, until) => latest.chain([until]).min(),
+            TrialState::Running(_, until) => latest.chain([until]).min(),
             _ => latest.min(),
         }
     }
 
-    pub(super) fn enter_running(&mut self, ticket: Ticket, now: Duration) -> Admission {
+    pub(super) fn admit_running(&mut self, ticket: Ticket, now: Duration) -> Admission {
         self.set_running(ticket, now);
         Admission::Run(ticket)
     }
 
     /// Lets a suspect run alone: at once on an empty server, else when it has emptied.
-    pub(super) fn enter_trial(&mut self, ticket: Ticket, now: Duration) -> Admission {
-        self.trial = TrialHold::Waiting(ticket);
+    pub(super) fn admit_trial(&mut self, ticket: Ticket, now: Duration) -> Admission {
+        self.trial = TrialState::Waiting(ticket);
         if self.running_count() == 0 {
-            return self.enter_running(ticket, now);
+            return self.admit_running(ticket, now);
         }
-        let limit = now + self.settings.trial_wait;
+        let limit = now + self.settings.trial_max_wait;
         if let Some(call) = self.calls.get_mut(ticket) {
-            call.stage = CallStage::AwaitsEmpty;
+            call.stage = CallStage::AwaitsEmptyServer;
             call.latest_start = call.latest_start.min(limit);
         }
         Admission::Queued(ticket)
@@ -108,8 +108,8 @@
         call.stage = CallStage::Running(now);
         self.running[class_index(call.class)] += 1;
         self.queues[class_index(call.class)].count_start(call.flow);
-        if self.trial == TrialHold::Waiting(ticket) {
-            self.trial = TrialHold::Running(ticket, now + self.settings.trial_hold);
+        if self.trial == TrialState::Waiting(ticket) {
+            self.trial = TrialState::Running(ticket, now + self.settings.trial_exclusive_time);
         }
     }
 
@@ -121,15 +121,15 @@
                 self.urgent[class_index(call.class)].remove(ticket);
             }
             CallStage::Queued => queue.remove(call.flow, ticket),
-            CallStage::AwaitsEmpty => {}
+            CallStage::AwaitsEmptyServer => {}
             CallStage::Running(_) => {
                 queue.count_end(call.flow);
                 self.running[class_index(call.class)] -= 1;
             }
         }
         match self.trial {
-            TrialHold::Waiting(held) | TrialHold::Running(held, _) if held == ticket => {
-                self.trial = TrialHold::None;
+            TrialState::Waiting(trial) | TrialState::Running(trial, _) if trial == ticket => {
+                self.trial = TrialState::None;
             }
             _ => {}
         }
@@ -143,15 +143,15 @@
         }
     }
 
-    fn end_trial_hold(&mut self, now: Duration) {
-        if matches!(self.trial, TrialHold::Running(_, until) if until <= now) {
-            self.trial = TrialHold::None;
+    fn end_trial_exclusivity(&mut self, now: Duration) {
+        if matches!(self.trial, TrialState::Running(_, until) if until <= now) {
+            self.trial = TrialState::None;
         }
     }
 
     fn waiting(&self) -> impl Iterator<Item = Ticket> {
         let trial = match self.trial {
-            TrialHold::Waiting(ticket) => Some(ticket),
+            TrialState::Waiting(ticket) => Some(ticket),
             _ => None,
         };
         let urgent = self.urgent.iter().flat_map(UrgencyQueue::tickets);
@@ -168,7 +168,7 @@
         let late: Vec<_> = self.waiting().filter_map(late_reason).collect();
         for (ticket, reason) in late {
             let reason = match self.trial {
-                TrialHold::Waiting(held) if held == ticket => RefusalReason::TrialUnderWay,
+                TrialState::Waiting(trial) if trial == ticket => RefusalReason::TrialUnderWay,
                 _ => reason,
             };
             self.remove(ticket);
@@ -178,8 +178,8 @@
 
     /// Takes out the queued request that starts next, if one may. A trial that waits goes first and
     /// holds the others back, or a busy server would never empty for it.
-    fn next_ready(&mut self, now: Duration) -> Option<Ticket> {
-        if let TrialHold::Waiting(ticket) = self.trial {
+    fn take_next_startable(&mut self, now: Duration) -> Option<Ticket> {
+        if let TrialState::Waiting(ticket) = self.trial {
             return (self.running_count() == 0).then_some(ticket);
         }
         let share = self.settings.long_share_of(self.slots(now));
--- a/components/decide/src/admitting/settings.rs
+++ b/components/decide/src/admitting/settings.rs
@@ -40,10 +40,10 @@
     pub bounds_by_link: bool,
     /// Longest wait of a trial for an empty server. Default 200 ms, since the slots that empty
     /// meanwhile stay unused.
-    pub trial_wait: Duration,
+    pub trial_max_wait: Duration,
     /// Longest time for which the server is kept empty beside a trial. Default 500 ms; a trial
     /// that lives longer goes on in company.
-    pub trial_hold: Duration,
+    pub trial_exclusive_time: Duration,
     /// Shortest time after which a refused caller may return. Default 1 s, the unit of the header.
     pub retry_least: Duration,
     /// Window over which returns are spread. Default 2 s: at a thousand refusals a second the
@@ -63,8 +63,8 @@
             cold_hold: 0.5,
             makes_room: true,
             bounds_by_link: true,
-            trial_wait: Duration::from_millis(200),
-            trial_hold: Duration::from_millis(500),
+            trial_max_wait: Duration::from_millis(200),
+            trial_exclusive_time: Duration::from_millis(500),
             retry_least: Duration::from_secs(1),
             retry_spread: Duration::from_secs(2),
         }
@@ -72,7 +72,7 @@
 }
 
 impl GuardSettings {
-    /// Gives the queue's bound for a class.
+    /// Returns the queue's bound for a class.
     pub fn queue_limit(&self, class: WorkClass) -> u32 {
         match class {
             WorkClass::Short => self.short_queue,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Gives the share of long work among a number of slots, at least one.
+    /// Returns the share of long work among a number of slots, at least one.
     pub fn long_share_of(&self, slots: u32) -> u32 {
         // Rounding a number between zero and the slots.
         ((f64::from(slots) * self.long_share).floor() as u32).max(1)
--- a/components/decide/src/admitting/upload.rs
+++ b/components/decide/src/admitting/upload.rs
@@ -4,7 +4,7 @@
 
 use rand::Rng;
 
-use crate::admitting::{AdmissionGuard, GuardRequest, Refusal, RefusalReason, urgent::makes_late};
+use crate::admitting::{AdmissionGuard, GuardRequest, Refusal, RefusalReason, urgent::misses_goal};
 
 /// What the instance's link has to carry before an upload.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -13,7 +13,7 @@
     pub wait: Duration,
     /// Time that an upload takes once it has its turn.
     pub takes: Duration,
-    /// Uploads on their way here, which have no slot yet.
+    /// Uploads on their link_time here, which have no slot yet.
     pub coming: u32,
 }
 
@@ -35,22 +35,22 @@
         now: Duration,
         rng: &mut (impl Rng + ?Sized),
     ) -> Result<(), Refusal> {
-        match self.upload_reason(request, link, now) {
+        match self.upload_refusal_reason(request, link, now) {
             Some(reason) => Err(self.refuse_offer(request, reason, now, rng)),
             None => Ok(()),
         }
     }
 
-    fn upload_reason(
+    fn upload_refusal_reason(
         &self,
         request: &GuardRequest,
         link: &LinkAhead,
         now: Duration,
     ) -> Option<RefusalReason> {
-        let way = link.wait + link.takes;
+        let link_time = link.wait + link.takes;
         let at_server = GuardRequest {
-            deadline: request.deadline.saturating_sub(way),
-            goal: request.goal.map(|goal| goal.saturating_sub(way)),
+            deadline: request.deadline.saturating_sub(link_time),
+            goal: request.goal.map(|goal| goal.saturating_sub(link_time)),
             ..*request
         };
         let service = self.service_time(request, now);
@@ -60,7 +60,7 @@
             Some(most) if link.wait > most || (is_full && most.is_zero()) => {
                 Some(RefusalReason::Busy)
             }
-            _ if makes_late(request, link.wait, link.takes + service, now) => {
+            _ if misses_goal(request, link.wait, link.takes + service, now) => {
                 Some(RefusalReason::GoalMissed)
             }
             _ => None,
--- a/components/decide/src/admitting/urgency.rs
+++ b/components/decide/src/admitting/urgency.rs
@@ -28,24 +28,24 @@
     urgency: Urgency,
     /// Time that a server usually takes for it.
     work: Duration,
-    turn: u64,
+    sequence: u64,
 }
 
 impl QueuedCall {
     fn key(&self, now: Duration) -> OrderKey {
-        order_key(self.urgency, self.work, self.turn, now)
+        order_key(self.urgency, self.work, self.sequence, now)
     }
 }
 
-fn order_key(urgency: Urgency, work: Duration, turn: u64, now: Duration) -> OrderKey {
-    (urgency.rank, now + work > urgency.due, urgency.due, turn)
+fn order_key(urgency: Urgency, work: Duration, sequence: u64, now: Duration) -> OrderKey {
+    (urgency.rank, now + work > urgency.due, urgency.due, sequence)
 }
 
 /// The queue. It holds some dozens, so that plain scans are the fastest.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UrgencyQueue {
     calls: Vec<QueuedCall>,
-    turn: u64,
+    sequence: u64,
 }
 
 impl UrgencyQueue {
@@ -55,8 +55,8 @@
     }
 
     pub(super) fn push(&mut self, ticket: Ticket, urgency: Urgency, work: Duration) {
-        self.turn += 1;
-        self.calls.push(QueuedCall { ticket, urgency, work, turn: self.turn });
+        self.sequence += 1;
+        self.calls.push(QueuedCall { ticket, urgency, work, sequence: self.sequence });
     }
 
     pub(super) fn pop(&mut self, now: Duration) -> Option<Ticket> {
@@ -66,13 +66,13 @@
     }
 
     /// Takes out the least urgent request, where a new one is more urgent.
-    pub(super) fn pop_behind(
+    pub(super) fn pop_less_urgent(
         &mut self,
         urgency: Urgency,
         work: Duration,
         now: Duration,
     ) -> Option<Ticket> {
-        let own = order_key(urgency, work, self.turn + 1, now);
+        let own = order_key(urgency, work, self.sequence + 1, now);
         let last = self.calls.iter().enumerate().max_by_key(|(_, call)| call.key(now));
         let index = last.filter(|(_, call)| call.key(now) > own).map(|(index, _)| index)?;
         Some(self.calls.swap_remove(index).ticket)
@@ -86,9 +86,9 @@
         self.calls.iter().map(|call| call.ticket)
     }
 
-    /// Gives the work of all that would start before a new request.
+    /// Returns the work of all that would start before a new request.
     pub(super) fn work_ahead(&self, urgency: Urgency, work: Duration, now: Duration) -> Duration {
-        let own = order_key(urgency, work, self.turn + 1, now);
+        let own = order_key(urgency, work, self.sequence + 1, now);
         self.calls.iter().filter(|call| call.key(now) < own).map(|call| call.work).sum()
     }
 }
--- a/components/decide/src/admitting/urgent.rs
+++ b/components/decide/src/admitting/urgent.rs
@@ -12,7 +12,7 @@
 /// Factor on the work ahead in the order of urgency, for more urgent work that comes later. Calls
 /// that other requests wait for take up to two fifths of a server in a burst; with the work ahead
 /// alone, one confirmation in ten was refused only after it had waited out its time.
-const LATER_WORK: f64 = 1.5;
+const LATER_ARRIVALS_FACTOR: f64 = 1.5;
 
 impl AdmissionGuard {
     /// Hands back the least urgent of the waiting requests, not run, where the queue is full and a
@@ -30,14 +30,14 @@
         }
         let service = self.service_time(request, now);
         let queue = &mut self.urgent[class_index(class)];
-        if let Some(ticket) = queue.pop_behind(urgency_of(request), service, now) {
+        if let Some(ticket) = queue.pop_less_urgent(urgency_of(request), service, now) {
             self.calls.remove(ticket);
             released.refused.push((ticket, RefusalReason::QueueFull));
         }
         released
     }
 
-    /// Gives the last moment at which a waiting request is started, and why it is refused then: while
+    /// Returns the last moment at which a waiting request is started, and why it is refused then: while
     /// the usual service time is left before the deadline, and in the order of urgency no later than
     /// half a goal after the goal. One that waits on behind those that can be in time is refused in the
     /// end, and had better be told while it can come back. One that may wait for a moment only is handed
@@ -61,13 +61,13 @@
         }
     }
 
-    /// Tells why a request cannot wait in the order of urgency, if so.
+    /// Returns why a request cannot wait in the order of urgency, if so.
     ///
     /// Made for a service that gets more than it can do for seconds. Whoever is queued beyond the
     /// goal is answered late, and so is everyone behind: the servers work at their limit and nobody
     /// is served in time. Refused at once, it can come back when the burst is over, and those that
     /// are kept are in time.
-    pub(super) fn urgent_reason(
+    pub(super) fn urgent_refusal_reason(
         &self,
         request: &GuardRequest,
         now: Duration,
@@ -76,18 +76,18 @@
         let wait = self.urgent_wait(request, now);
         let service = self.service_time(request, now);
         // Work that comes later and is more urgent goes before it.
-        let wait = wait.mul_f64(LATER_WORK);
+        let wait = wait.mul_f64(LATER_ARRIVALS_FACTOR);
         match request {
             _ if self.queued(class) >= self.settings.queue_limit(class) => {
-                Some(self.full_reason(now))
+                Some(self.queue_full_reason(now))
             }
             _ if now + wait + service > request.deadline => Some(RefusalReason::DeadlineTooNear),
-            _ if makes_late(request, wait, service, now) => Some(RefusalReason::GoalMissed),
+            _ if misses_goal(request, wait, service, now) => Some(RefusalReason::GoalMissed),
             _ => None,
         }
     }
 
-    /// Gives the time that a request would wait for a slot now, in the order of urgency: what is
+    /// Returns the time that a request would wait for a slot now, in the order of urgency: what is
     /// left of the work that runs and the work that goes before, over the slots of its class.
     pub(super) fn urgent_wait(&self, request: &GuardRequest, now: Duration) -> Duration {
         let class = request.class;
@@ -98,20 +98,20 @@
             WorkClass::Long => self.long_limit(now),
             WorkClass::Short => self.slots(now),
         };
-        self.first_free(now) + ahead / slots.max(1)
+        self.time_to_first_slot(now) + ahead / slots.max(1)
     }
 
-    /// Gives the time until the first of the running requests is expected to end. What is left of
+    /// Returns the time until the first of the running requests is expected to end. What is left of
     /// `n` requests is spread evenly up to twice its mean, and the least of `n` such times is at a
     /// part of `n + 1` of that. Half the mean, which is the time until half of them have ended,
     /// refused one call in eighteen in a burst that could have had the next slot.
-    fn first_free(&self, now: Duration) -> Duration {
+    fn time_to_first_slot(&self, now: Duration) -> Duration {
         let running = self.running_count();
-        let left: Duration = self.calls.values().map(|call| self.work_left(call, now)).sum();
+        let left: Duration = self.calls.values().map(|call| self.remaining_work(call, now)).sum();
         left * 2 / (running * (running + 1)).max(1)
     }
 
-    /// Gives how long a request that may queue would wait for a slot, for whoever chooses among
+    /// Returns how long a request that may queue would wait for a slot, for whoever chooses among
     /// servers. Zero while a slot is free.
     pub fn wait_hint(&self, now: Duration) -> Duration {
         if self.running_count() < self.slots(now) {
@@ -123,10 +123,10 @@
             .filter(|call| call.stage == CallStage::Queued)
             .map(|call| self.work_time(call.work, call.class, now))
             .sum();
-        self.first_free(now) + queued / self.slots(now).max(1)
+        self.time_to_first_slot(now) + queued / self.slots(now).max(1)
     }
 
-    fn work_left(&self, call: &GuardedCall, now: Duration) -> Duration {
+    fn remaining_work(&self, call: &GuardedCall, now: Duration) -> Duration {
         match call.stage {
             CallStage::Running(since) => {
                 let usual = self.work_time(call.work, call.class, now);
@@ -134,14 +134,14 @@
                 let left = usual.saturating_sub(now.saturating_sub(since));
                 left.max(usual / 4)
             }
-            CallStage::Queued | CallStage::AwaitsEmpty => Duration::ZERO,
+            CallStage::Queued | CallStage::AwaitsEmptyServer => Duration::ZERO,
         }
     }
 }
 
-/// Tells whether a wait, with `rest` after it, makes a request miss its goal by much. A goal that has
+/// Returns whether a wait, with `rest` after it, makes a request miss its goal by much. A goal that has
 /// passed already says nothing about what can still be had.
-pub(super) fn makes_late(
+pub(super) fn misses_goal(
     request: &GuardRequest,
     wait: Duration,
     rest: Duration,
@@ -151,7 +151,7 @@
     goal.is_some_and(|goal| now + wait + rest > goal && wait > (goal - now) / 2)
 }
 
-/// Gives how urgent a request is.
+/// Returns how urgent a request is.
 pub(super) fn urgency_of(request: &GuardRequest) -> Urgency {
     Urgency { rank: request.rank, due: request.goal.unwrap_or(request.deadline) }
 }
--- a/components/decide/src/backoff.rs
+++ b/components/decide/src/backoff.rs
@@ -24,7 +24,7 @@
 }
 
 impl BackoffSettings {
-    /// Gives the window of a try: the base doubled with each failure before it, up to the cap.
+    /// Returns the window of a try: the base doubled with each failure before it, up to the cap.
     pub fn window(&self, failures: u32) -> Duration {
         // More doublings than this pass any cap and would overflow the factor.
         let factor = 1_u32 << failures.min(31);
--- a/components/decide/src/deadline.rs
+++ b/components/decide/src/deadline.rs
@@ -53,7 +53,7 @@
 }
 
 impl CallContext {
-    /// Gives the context of a call that arrives without one.
+    /// Returns the context of a call that arrives without one.
     pub fn fresh(deadline: Duration) -> Self {
         Self { remaining: deadline, hops: 0, retried_above: 0 }
     }
@@ -64,12 +64,12 @@
         Self { remaining: self.remaining.min(deadline), ..self }
     }
 
-    /// Gives the time left after `elapsed` at this hop, less the way back.
+    /// Returns the time left after `elapsed` at this hop, less the way back.
     pub fn left_after(&self, elapsed: Duration) -> Duration {
         self.remaining.saturating_sub(elapsed).saturating_sub(RETURN_MARGIN)
     }
 
-    /// Gives the context for the next hop, `elapsed` after arrival, as retry `own_retries` of this
+    /// Returns the context for the next hop, `elapsed` after arrival, as retry `own_retries` of this
     /// layer (zero for the first attempt).
     ///
     /// # Errors
--- a/components/decide/src/fetch_gate.rs
+++ b/components/decide/src/fetch_gate.rs
@@ -35,9 +35,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GateVerdict {
     /// Start now; [`FetchGate::leave`] follows when it ends.
-    Enter,
+    Start,
     /// Come back after this time.
-    ComeBack(Duration),
+    RetryAfter(Duration),
 }
 
 /// Caps concurrent fetches and spreads the clients it sends away.
@@ -47,48 +47,48 @@
     active: u32,
     mean: Duration,
     /// Time of the last turn given.
-    last_turn: Duration,
+    last_return_at: Duration,
 }
 
 impl FetchGate {
-    /// Makes a gate with no fetch under way.
+    /// Creates a gate with no fetch under way.
     pub fn new(settings: GateSettings) -> Self {
         let mean = settings.expected;
-        Self { settings, active: 0, mean, last_turn: Duration::ZERO }
+        Self { settings, active: 0, mean, last_return_at: Duration::ZERO }
     }
 
     /// Decides on a fetch that arrives at `now`.
     pub fn enter(&mut self, now: Duration, rng: &mut (impl Rng + ?Sized)) -> GateVerdict {
         if self.active < self.settings.limit {
             self.active += 1;
-            return GateVerdict::Enter;
+            return GateVerdict::Start;
         }
-        GateVerdict::ComeBack(self.next_turn(now, rng))
+        GateVerdict::RetryAfter(self.next_return_wait(now, rng))
     }
 
-    /// Takes note that a fetch ended after `took`, with or without success.
+    /// Records that a fetch ended after `took`, with or without success.
     pub fn leave(&mut self, took: Duration) {
         self.active = self.active.saturating_sub(1);
         // Weight one eighth: follows a change of snapshot size within some ten fetches.
         self.mean = (self.mean * 7 + took) / 8;
     }
 
-    /// Gives the number of fetches under way.
+    /// Returns the number of fetches under way.
     pub fn active_count(&self) -> u32 {
         self.active
     }
 
-    /// Gives the wait until the next turn that is not taken. Turns are given out at nine tenths of
+    /// Returns the wait until the next turn that is not taken. Turns are given out at nine tenths of
     /// the rate at which fetches end, since at the full rate chance alone makes many return in
     /// vain. The jitter of one fetch keeps the returns from falling on the ends of those before.
-    fn next_turn(&mut self, now: Duration, rng: &mut (impl Rng + ?Sized)) -> Duration {
+    fn next_return_wait(&mut self, now: Duration, rng: &mut (impl Rng + ?Sized)) -> Duration {
         let step = self.mean * 10 / (9 * self.settings.limit.max(1));
-        let turn = self.last_turn.max(now) + step;
-        let wait = turn - now;
+        let return_at = self.last_return_at.max(now) + step;
+        let wait = return_at - now;
         if wait > self.settings.max_wait {
             return draw_between(self.settings.max_wait / 2, self.settings.max_wait, rng);
         }
-        self.last_turn = turn;
+        self.last_return_at = return_at;
         wait + draw_between(Duration::ZERO, self.mean, rng)
     }
 }
--- a/components/decide/src/idling.rs
+++ b/components/decide/src/idling.rs
@@ -11,13 +11,13 @@
 pub const IDLE_LIMIT: Duration = Duration::from_secs(4);
 /// Longest idle time for a request that may run once only. A busy server's connections wait for some
 /// tens of milliseconds; one that has waited for longer is opened anew, which costs a millisecond.
-const ONCE_LIMIT: Duration = Duration::from_millis(250);
+const RUN_ONCE_IDLE_LIMIT: Duration = Duration::from_millis(250);
 /// Idle time from which a reset is put down to it. On a connection that was in use just now it is the
 /// server's choice or its death, and says nothing of idle ones: with them counted, a server that lost
 /// answers got a new connection for nearly each request.
 pub const STALE_LEAST: Duration = Duration::from_millis(100);
 /// Time in which a limit that was lowered doubles.
-const RECOVERY: Duration = Duration::from_secs(5);
+const LIMIT_DOUBLING_TIME: Duration = Duration::from_secs(5);
 
 /// What is trusted of one server's connections.
 #[derive(Clone, Copy, Debug, Default)]
@@ -27,18 +27,18 @@
 }
 
 impl IdleTrust {
-    /// Gives how long a connection may have been idle at `now`.
+    /// Returns how long a connection may have been idle at `now`.
     pub fn limit(&self, is_repeatable: bool, now: Duration) -> Duration {
-        let usual = if is_repeatable { IDLE_LIMIT } else { ONCE_LIMIT };
+        let usual = if is_repeatable { IDLE_LIMIT } else { RUN_ONCE_IDLE_LIMIT };
         let lowered = self.lowered.map(|(limit, at)| {
-            let doublings = now.saturating_sub(at).as_secs_f64() / RECOVERY.as_secs_f64();
+            let doublings = now.saturating_sub(at).as_secs_f64() / LIMIT_DOUBLING_TIME.as_secs_f64();
             // Far beyond the usual limit after a minute; bounded for the sake of the factor.
             limit.mul_f64(doublings.min(20.0).exp2())
         });
         lowered.map_or(usual, |lowered| lowered.min(usual))
     }
 
-    /// Notes that a connection which had been idle for a time was found dead.
+    /// Records that a connection which had been idle for a time was found dead.
     pub fn note_stale(&mut self, idle: Duration, now: Duration) {
         if idle < STALE_LEAST {
             return;
--- a/components/decide/src/lib.rs
+++ b/components/decide/src/lib.rs
@@ -25,9 +25,9 @@
 pub type WorkKey = u64;
 
 /// Number of work classes, for tables with one cell a class.
-pub(crate) const CLASSES: usize = 2;
+pub(crate) const CLASS_COUNT: usize = 2;
 
-/// Gives the cell of a class in such a table.
+/// Returns the cell of a class in such a table.
 pub(crate) fn class_index(class: WorkClass) -> usize {
     match class {
         WorkClass::Short => 0,
--- a/components/decide/src/pacing.rs
+++ b/components/decide/src/pacing.rs
@@ -41,7 +41,7 @@
 }
 
 impl ConnectPacer {
-    /// Makes a pacer with no connection open.
+    /// Creates a pacer with no connection open.
     pub fn new(settings: PacerSettings) -> Self {
         Self { settings, open: 0, next_at: Duration::ZERO }
     }
@@ -59,12 +59,12 @@
         }
     }
 
-    /// Takes note that a connection was closed or could not be opened.
+    /// Records that a connection was closed or could not be opened.
     pub fn closed(&mut self) {
         self.open = self.open.saturating_sub(1);
     }
 
-    /// Gives the number of connections that count as open.
+    /// Returns the number of connections that count as open.
     pub fn open_count(&self) -> u32 {
         self.open
     }
--- a/components/decide/src/placing.rs
+++ b/components/decide/src/placing.rs
@@ -24,7 +24,7 @@
 pub use crate::placing::settings::{PlacementOrder, PlacementSettings, PlacementWeights};
 
 mod call;
-mod draw;
+mod two_choices;
 mod gauge;
 mod mean;
 mod outlier;
@@ -32,7 +32,7 @@
 mod soonest;
 
 /// Longest wait that is believed. What is said longer ago than this describes another load.
-const LONGEST_WAIT: Duration = Duration::from_secs(1);
+const MAX_REPORTED_WAIT: Duration = Duration::from_secs(1);
 
 /// Identifies an endpoint among those of its service.
 pub type EndpointId = u64;
@@ -119,26 +119,26 @@
     sizes: Arc<WorkMeans<SizeMean>>,
     /// Held while an endpoint is set aside. Two threads that each set one aside would otherwise
     /// both count the other as in service and pass the cap.
-    pub(crate) aside_lock: Arc<Mutex<()>>,
+    pub(crate) ejection_lock: Arc<Mutex<()>>,
 }
 
 impl PlacementTable {
-    /// Makes a table without endpoints.
+    /// Creates a table without endpoints.
     pub fn new(settings: PlacementSettings) -> Self {
-        Self { settings, entries: Vec::new(), sizes: Arc::default(), aside_lock: Arc::default() }
+        Self { settings, entries: Vec::new(), sizes: Arc::default(), ejection_lock: Arc::default() }
     }
 
-    /// Makes the table for a changed membership. Counters go over to the same incarnation only: a
+    /// Creates the table for a changed membership. Counters go over to the same incarnation only: a
     /// new process at an old address starts cold and with a clean record.
     #[must_use]
     pub fn rebuild(&self, records: &[EndpointRecord], now: Duration) -> Self {
-        let held: HashMap<_, _> = self
+        let gauges: HashMap<_, _> = self
             .entries
             .iter()
             .map(|entry| ((entry.record.id, entry.record.incarnation), &entry.gauge))
             .collect();
         let entry_of = |record: &EndpointRecord| {
-            let gauge = match held.get(&(record.id, record.incarnation)) {
+            let gauge = match gauges.get(&(record.id, record.incarnation)) {
                 Some(gauge) => Arc::clone(gauge),
                 None => Arc::new(EndpointGauge::new(record.age, now)),
             };
@@ -148,9 +148,9 @@
             settings: self.settings,
             entries: records.iter().map(entry_of).collect(),
             sizes: Arc::clone(&self.sizes),
-            aside_lock: Arc::clone(&self.aside_lock),
+            ejection_lock: Arc::clone(&self.ejection_lock),
         };
-        table.release_excess(now);
+        table.reinstate_excess(now);
         table
     }
 
@@ -179,13 +179,13 @@
             };
         }
         let candidates = self.candidates(request, now);
-        match draw::pick(&candidates, &self.settings, rng) {
+        match two_choices::pick(&candidates, &self.settings, rng) {
             Some(index) => Ok(PlacedCall::start(self, index, request, false, now)),
             None => self.last_resort(request, now).ok_or(PlaceError::AllExcluded),
         }
     }
 
-    /// Takes note of what an endpoint says of its load, from 0 (idle) to 1 (full). It lowers the
+    /// Records what an endpoint says of its load, from 0 (idle) to 1 (full). It lowers the
     /// endpoint's share until it expires, and never raises it.
     pub fn hint(&self, id: EndpointId, load: f64, now: Duration) {
         if let Some(entry) = self.entries.iter().find(|entry| entry.record.id == id) {
@@ -193,92 +193,92 @@
         }
     }
 
-    /// Takes note of how long a request would wait for a slot at an endpoint, as its guard says. It
+    /// Records how long a request would wait for a slot at an endpoint, as its guard says. It
     /// holds until the wait would be over.
     pub fn note_wait(&self, id: EndpointId, wait: Duration, now: Duration) {
         if let Some(entry) = self.entries.iter().find(|entry| entry.record.id == id) {
-            entry.gauge.set_wait(now + wait.min(LONGEST_WAIT));
+            entry.gauge.set_wait(now + wait.min(MAX_REPORTED_WAIT));
         }
     }
 
-    /// Takes note of the part of failures that an endpoint's guard sees. It can only raise what this
+    /// Records the part of failures that an endpoint's guard sees. It can only raise what this
     /// daemon has seen itself, and fades like that.
     pub fn note_failing(&self, id: EndpointId, part: f64, now: Duration) {
         if let Some(entry) = self.entries.iter().find(|entry| entry.record.id == id) {
-            entry.gauge.raise_failures(part, now);
+            entry.gauge.raise_failure_rate(part, now);
         }
     }
 
-    /// Takes note of the size of an answer.
+    /// Records the size of an answer.
     pub fn note_size(&self, work: WorkKey, bytes: u64) {
-        self.sizes.of(work).add(bytes);
+        self.sizes.for_kind(work).add(bytes);
     }
 
-    /// Gives the usual size of an answer in bytes, zero while none is known.
+    /// Returns the usual size of an answer in bytes, zero while none is known.
     pub fn usual_size(&self, work: WorkKey) -> u64 {
-        self.sizes.of(work).get()
+        self.sizes.for_kind(work).get()
     }
 
-    /// Gives the settings.
+    /// Returns the settings.
     pub fn settings(&self) -> &PlacementSettings {
         &self.settings
     }
 
-    /// Gives the state of each endpoint, for a dump.
+    /// Returns the state of each endpoint, for a dump.
     pub fn states(&self, now: Duration) -> Vec<EndpointState> {
         self.entries
             .iter()
             .map(|entry| {
-                let share = self.share_of(entry, now);
-                EndpointState::of(&entry.record, &entry.gauge, share)
+                let effective_slots = self.effective_slots_of(entry, now);
+                EndpointState::of(&entry.record, &entry.gauge, effective_slots)
             })
             .collect()
     }
 
-    /// Gives the number of endpoints.
+    /// Returns the number of endpoints.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Tells whether the service has no endpoint.
+    /// Returns whether the service has no endpoint.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Gives the slots of an endpoint that may be counted on now: fewer while it is cold, and fewer
+    /// Returns the slots of an endpoint that may be counted on now: fewer while it is cold, and fewer
     /// while it says that it is loaded.
-    fn share_of(&self, entry: &TableEntry, now: Duration) -> f64 {
+    fn effective_slots_of(&self, entry: &TableEntry, now: Duration) -> f64 {
         let settings = &self.settings;
-        let warmth = entry.gauge.warmth(settings, now);
-        let relief = 1.0 - entry.gauge.live_hint(now) * settings.hint_weight;
-        f64::from(entry.record.slots.max(1)) * warmth * relief
+        let warm_fraction = entry.gauge.warm_fraction(settings, now);
+        let hint_factor = 1.0 - entry.gauge.current_hint(now) * settings.hint_weight;
+        f64::from(entry.record.slots.max(1)) * warm_fraction * hint_factor
     }
 
-    fn candidates(&self, request: &PlaceRequest<'_>, now: Duration) -> Vec<draw::Candidate> {
+    fn candidates(&self, request: &PlaceRequest<'_>, now: Duration) -> Vec<two_choices::Candidate> {
         self.entries
             .iter()
             .enumerate()
-            .filter(|(_, entry)| is_wanted(entry, request) && !entry.gauge.is_aside())
-            .map(|(index, entry)| draw::Candidate {
+            .filter(|(_, entry)| is_eligible(entry, request) && !entry.gauge.is_ejected())
+            .map(|(index, entry)| two_choices::Candidate {
                 index,
                 distance: entry.record.distance,
-                share: self.share_of(entry, now),
+                effective_slots: self.effective_slots_of(entry, now),
                 in_flight: entry.gauge.in_flight(),
             })
             .collect()
     }
 
-    /// Gives an endpoint whose time aside is over, and claims its probe.
+    /// Returns an endpoint whose time aside is over, and claims its probe.
     fn due_probe(&self, request: &PlaceRequest<'_>, now: Duration) -> Option<usize> {
         self.entries.iter().position(|entry| {
             request.may_probe
-                && is_wanted(entry, request)
+                && is_eligible(entry, request)
                 && entry.gauge.is_probe_due(now)
                 && entry.gauge.claim_probe()
         })
     }
 
-    /// Gives an endpoint that is set aside, ahead of its time, when no other is left: an early
+    /// Returns an endpoint that is set aside, ahead of its time, when no other is left: an early
     /// probe harms less than an error. The bound of one probe at a time still holds.
     fn last_resort(
         self: &Arc<Self>,
@@ -286,16 +286,16 @@
         now: Duration,
     ) -> Option<PlacedCall> {
         let index = self.entries.iter().position(|entry| {
-            is_wanted(entry, request) && entry.gauge.is_aside() && entry.gauge.claim_probe()
+            is_eligible(entry, request) && entry.gauge.is_ejected() && entry.gauge.claim_probe()
         })?;
         Some(PlacedCall::start(self, index, request, true, now))
     }
 
-    pub(crate) fn lock_aside(&self) -> std::sync::MutexGuard<'_, ()> {
-        self.aside_lock.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn lock_ejection(&self) -> std::sync::MutexGuard<'_, ()> {
+        self.ejection_lock.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn is_wanted(entry: &TableEntry, request: &PlaceRequest<'_>) -> bool {
+fn is_eligible(entry: &TableEntry, request: &PlaceRequest<'_>) -> bool {
     !entry.gauge.is_leaving() && !request.exclude.contains(&entry.record.id)
 }
--- a/components/decide/src/placing/call.rs
+++ b/components/decide/src/placing/call.rs
@@ -43,40 +43,40 @@
         now: Duration,
     ) -> Self {
         let entry = &table.entries[index];
-        entry.gauge.enter(now);
+        entry.gauge.begin_request(now);
         let most_wait = table.most_wait(entry, request);
         let work = table.work_of(request);
         Self { table: Arc::clone(table), index, work, most_wait, is_probe, has_head: false }
     }
 
-    /// Notes that the head of an answer came. `transit` is the time it spent on the way, beside what
+    /// Records that the head of an answer came. `transit` is the time it spent on the way, beside what
     /// the guard says that it held the request for; none where it says nothing.
     pub fn note_head(&mut self, transit: Option<Duration>, now: Duration) {
         let gauge = &self.table.entries[self.index].gauge;
         if !std::mem::replace(&mut self.has_head, true) {
-            gauge.end_quiet(Some(now));
+            gauge.end_unanswered(Some(now));
         }
         if let Some(transit) = transit {
             gauge.add_transit(transit, now);
         }
     }
 
-    /// Gives the endpoint.
+    /// Returns the endpoint.
     pub fn endpoint(&self) -> EndpointId {
         self.record().id
     }
 
-    /// Gives the endpoint's record.
+    /// Returns the endpoint's record.
     pub fn record(&self) -> &EndpointRecord {
         &self.table.entries[self.index].record
     }
 
-    /// Gives how long the request may wait for a slot at the endpoint, none where it may for any time.
+    /// Returns how long the request may wait for a slot at the endpoint, none where it may for any time.
     pub fn most_wait(&self) -> Option<Duration> {
         self.most_wait
     }
 
-    /// Tells whether the request is the probe of an endpoint that was set aside.
+    /// Returns whether the request is the probe of an endpoint that was set aside.
     pub fn is_probe(&self) -> bool {
         self.is_probe
     }
@@ -84,16 +84,16 @@
     /// Ends the call. `latency` is best the time that the endpoint's guard reports, without the
     /// network, so that distance does not count as slowness.
     pub fn finish(self, outcome: CallOutcome, latency: Duration, now: Duration) {
-        self.table.judge(self.index, self.work, self.is_probe, outcome, latency, now);
+        self.table.record_outcome(self.index, self.work, self.is_probe, outcome, latency, now);
     }
 }
 
 impl Drop for PlacedCall {
     fn drop(&mut self) {
         let gauge = &self.table.entries[self.index].gauge;
-        gauge.leave();
+        gauge.end_request();
         if !self.has_head {
-            gauge.end_quiet(None);
+            gauge.end_unanswered(None);
         }
         if self.is_probe {
             gauge.end_probe();
--- a/components/decide/src/placing/gauge.rs
+++ b/components/decide/src/placing/gauge.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::WorkKey;
-use crate::placing::mean::{LatencyMean, WorkMeans, fading, micros, signed_micros};
+use crate::placing::mean::{LatencyMean, WorkMeans, decay_factor, micros, signed_micros};
 use crate::placing::{EndpointId, EndpointRecord, Incarnation, PlacementSettings};
 
 /// Steps of a load hint, packed below its expiry.
@@ -16,21 +16,21 @@
 const FAILURE_WEIGHT: u32 = 6;
 /// Factor on the usual work up to which an answer that has not come says nothing of the way. Log-normal
 /// service times whose deviation is 0.8 of their mean pass it in one of twenty cases, as computed.
-const QUIET_FACTOR: u32 = 3;
+const SILENCE_FACTOR: u32 = 3;
 
 /// Counters of one incarnation of an endpoint. All are independent and relaxed: a value that is
 /// late by a few nanoseconds only makes a choice slightly worse.
 #[derive(Debug)]
 pub struct EndpointGauge {
     in_flight: AtomicU32,
-    failures: AtomicU32,
+    consecutive_failures: AtomicU32,
     latencies: WorkMeans<LatencyMean>,
     /// Expiry in microseconds above eight bits of load.
     hint: AtomicU64,
     /// Start of the warm-up in microseconds, below zero for a server older than this process.
-    warm_from: AtomicI64,
+    warm_up_start: AtomicI64,
     /// Microsecond at which a probe is due, zero while in service.
-    aside_until: AtomicU64,
+    ejected_until: AtomicU64,
     /// Microsecond until which no slot is expected to be free.
     wait_until: AtomicU64,
     /// Time that requests spend on the way, beside the wait and the work at the guard.
@@ -38,12 +38,12 @@
     /// Requests that have no head of an answer yet.
     unanswered: AtomicU32,
     /// Microsecond since which those have waited without any answer from here.
-    quiet_since: AtomicU64,
+    silent_since: AtomicU64,
     /// Failures among the last requests, in thousandths.
-    failure_part: AtomicU32,
+    failure_rate: AtomicU32,
     /// Microsecond of the last request that counted for them.
-    failure_at: AtomicU64,
-    strikes: AtomicU32,
+    failure_updated_at: AtomicU64,
+    ejection_count: AtomicU32,
     is_probed: AtomicBool,
     is_leaving: AtomicBool,
 }
@@ -52,34 +52,34 @@
     pub(super) fn new(age: Duration, now: Duration) -> Self {
         Self {
             in_flight: AtomicU32::new(0),
-            failures: AtomicU32::new(0),
+            consecutive_failures: AtomicU32::new(0),
             latencies: Default::default(),
             hint: AtomicU64::new(0),
-            warm_from: AtomicI64::new(signed_micros(now) - signed_micros(age)),
-            aside_until: AtomicU64::new(0),
+            warm_up_start: AtomicI64::new(signed_micros(now) - signed_micros(age)),
+            ejected_until: AtomicU64::new(0),
             wait_until: AtomicU64::new(0),
             transit: LatencyMean::default(),
             unanswered: AtomicU32::new(0),
-            quiet_since: AtomicU64::new(0),
-            failure_part: AtomicU32::new(0),
-            failure_at: AtomicU64::new(0),
-            strikes: AtomicU32::new(0),
+            silent_since: AtomicU64::new(0),
+            failure_rate: AtomicU32::new(0),
+            failure_updated_at: AtomicU64::new(0),
+            ejection_count: AtomicU32::new(0),
             is_probed: AtomicBool::new(false),
             is_leaving: AtomicBool::new(false),
         }
     }
 
-    /// Gives our requests in flight.
+    /// Returns our requests in flight.
     pub fn in_flight(&self) -> u32 {
         self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Tells whether the endpoint is set aside.
-    pub fn is_aside(&self) -> bool {
-        self.aside_until.load(Ordering::Relaxed) != 0
+    /// Returns whether the endpoint is set aside.
+    pub fn is_ejected(&self) -> bool {
+        self.ejected_until.load(Ordering::Relaxed) != 0
     }
 
-    /// Tells whether the guard has said that the server is leaving.
+    /// Returns whether the guard has said that the server is leaving.
     pub fn is_leaving(&self) -> bool {
         self.is_leaving.load(Ordering::Relaxed)
     }
@@ -90,19 +90,19 @@
         self.is_leaving.store(true, Ordering::Relaxed);
     }
 
-    pub(super) fn enter(&self, now: Duration) {
+    pub(super) fn begin_request(&self, now: Duration) {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         if self.unanswered.fetch_add(1, Ordering::Relaxed) == 0 {
-            self.quiet_since.store(micros(now), Ordering::Relaxed);
+            self.silent_since.store(micros(now), Ordering::Relaxed);
         }
     }
 
     /// Counts a request out that has its head, or never will have one. An answer, whatever it says,
     /// shows that the way to the endpoint is open.
-    pub(super) fn end_quiet(&self, answered_at: Option<Duration>) {
+    pub(super) fn end_unanswered(&self, answered_at: Option<Duration>) {
         self.unanswered.fetch_sub(1, Ordering::Relaxed);
         if let Some(now) = answered_at {
-            self.quiet_since.store(micros(now), Ordering::Relaxed);
+            self.silent_since.store(micros(now), Ordering::Relaxed);
         }
     }
 
@@ -111,28 +111,28 @@
         self.transit.add(transit, now);
     }
 
-    /// Gives the time that a request of some work is expected to spend on the way.
+    /// Returns the time that a request of some work is expected to spend on the way.
     ///
     /// A full link, or a daemon without processor time, shows in no count that its guard could send:
     /// what it sends is late itself. So the time is what answers have taken beside the wait and the
     /// work, or what requests without an answer have waited beyond them by now.
     pub(super) fn transit(&self, work: Duration, now: Duration) -> Duration {
-        let measured = self.transit.faded(Duration::ZERO, now);
-        let quiet = match self.unanswered.load(Ordering::Relaxed) {
+        let measured = self.transit.decayed_towards(Duration::ZERO, now);
+        let silence = match self.unanswered.load(Ordering::Relaxed) {
             0 => 0,
-            _ => micros(now).saturating_sub(self.quiet_since.load(Ordering::Relaxed)),
+            _ => micros(now).saturating_sub(self.silent_since.load(Ordering::Relaxed)),
         };
-        let expected = self.wait(now) + work * QUIET_FACTOR;
-        measured.max(Duration::from_micros(quiet).saturating_sub(expected))
+        let expected = self.wait(now) + work * SILENCE_FACTOR;
+        measured.max(Duration::from_micros(silence).saturating_sub(expected))
     }
 
-    pub(super) fn leave(&self) {
+    pub(super) fn end_request(&self) {
         self.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Gives the warm-up's progress, from the cold share to one.
-    pub(super) fn warmth(&self, settings: &PlacementSettings, now: Duration) -> f64 {
-        let elapsed = signed_micros(now) - self.warm_from.load(Ordering::Relaxed);
+    /// Returns the warm-up's progress, from the cold share to one.
+    pub(super) fn warm_fraction(&self, settings: &PlacementSettings, now: Duration) -> f64 {
+        let elapsed = signed_micros(now) - self.warm_up_start.load(Ordering::Relaxed);
         let whole = signed_micros(settings.warm_up).max(1);
         (elapsed as f64 / whole as f64).clamp(settings.cold_share, 1.0)
     }
@@ -143,8 +143,8 @@
         self.hint.store((micros(expiry) << HINT_BITS) | steps, Ordering::Relaxed);
     }
 
-    /// Gives the load of the last hint, zero once it has expired.
-    pub(super) fn live_hint(&self, now: Duration) -> f64 {
+    /// Returns the load of the last hint, zero once it has expired.
+    pub(super) fn current_hint(&self, now: Duration) -> f64 {
         let packed = self.hint.load(Ordering::Relaxed);
         match packed >> HINT_BITS {
             expiry if micros(now) < expiry => (packed & HINT_STEPS) as f64 / HINT_STEPS as f64,
@@ -156,53 +156,53 @@
         self.wait_until.store(micros(until), Ordering::Relaxed);
     }
 
-    /// Gives how long a request would wait for a slot, as far as was said.
+    /// Returns how long a request would wait for a slot, as far as was said.
     pub(super) fn wait(&self, now: Duration) -> Duration {
         let until = self.wait_until.load(Ordering::Relaxed);
         Duration::from_micros(until.saturating_sub(micros(now)))
     }
 
     /// Counts a request for the part of failures.
-    pub(super) fn note_end(&self, is_failure: bool, now: Duration) {
+    pub(super) fn record_end(&self, is_failure: bool, now: Duration) {
         let sample = if is_failure { 1000 } else { 0 };
-        let held = (self.failure_part(now) * 1000.0) as u32;
-        let part = (held * (FAILURE_WEIGHT - 1) + sample) / FAILURE_WEIGHT;
-        self.failure_part.store(part, Ordering::Relaxed);
-        self.failure_at.store(micros(now), Ordering::Relaxed);
+        let current = (self.failure_rate(now) * 1000.0) as u32;
+        let rate = (current * (FAILURE_WEIGHT - 1) + sample) / FAILURE_WEIGHT;
+        self.failure_rate.store(rate, Ordering::Relaxed);
+        self.failure_updated_at.store(micros(now), Ordering::Relaxed);
     }
 
     /// Raises the part of failures to what another one has seen.
-    pub(super) fn raise_failures(&self, part: f64, now: Duration) {
-        if part > self.failure_part(now) {
-            self.failure_part.store((part.clamp(0.0, 1.0) * 1000.0) as u32, Ordering::Relaxed);
-            self.failure_at.store(micros(now), Ordering::Relaxed);
+    pub(super) fn raise_failure_rate(&self, rate: f64, now: Duration) {
+        if rate > self.failure_rate(now) {
+            self.failure_rate.store((rate.clamp(0.0, 1.0) * 1000.0) as u32, Ordering::Relaxed);
+            self.failure_updated_at.store(micros(now), Ordering::Relaxed);
         }
     }
 
-    /// Gives the part of failures among the last requests, from 0 to 1. It fades while none come,
+    /// Returns the part of failures among the last requests, from 0 to 1. It fades while none come,
     /// so that a server that failed is tried again.
-    pub(super) fn failure_part(&self, now: Duration) -> f64 {
-        let idle = micros(now).saturating_sub(self.failure_at.load(Ordering::Relaxed));
-        let held = f64::from(self.failure_part.load(Ordering::Relaxed)) / 1000.0;
-        held * fading(idle)
+    pub(super) fn failure_rate(&self, now: Duration) -> f64 {
+        let idle = micros(now).saturating_sub(self.failure_updated_at.load(Ordering::Relaxed));
+        let current = f64::from(self.failure_rate.load(Ordering::Relaxed)) / 1000.0;
+        current * decay_factor(idle)
     }
 
     /// Counts failures in a row and gives their number.
     pub(super) fn add_failures(&self, count: u32) -> u32 {
-        self.failures.fetch_add(count, Ordering::Relaxed).saturating_add(count)
+        self.consecutive_failures.fetch_add(count, Ordering::Relaxed).saturating_add(count)
     }
 
     pub(super) fn clear_failures(&self) {
-        self.failures.store(0, Ordering::Relaxed);
+        self.consecutive_failures.store(0, Ordering::Relaxed);
     }
 
-    /// Gives the mean latency of a kind of work.
+    /// Returns the mean latency of a kind of work.
     pub(super) fn latency(&self, work: WorkKey) -> &LatencyMean {
-        self.latencies.of(work)
+        self.latencies.for_kind(work)
     }
 
     pub(super) fn is_probe_due(&self, now: Duration) -> bool {
-        let until = self.aside_until.load(Ordering::Relaxed);
+        let until = self.ejected_until.load(Ordering::Relaxed);
         until != 0 && until <= micros(now)
     }
 
@@ -216,34 +216,34 @@
     }
 
     /// Sets the endpoint aside, for longer with each strike.
-    pub(super) fn set_aside(&self, settings: &PlacementSettings, now: Duration) {
-        let strikes = self.strikes.fetch_add(1, Ordering::Relaxed).min(31);
-        let time = settings.aside_base.saturating_mul(1 << strikes).min(settings.aside_cap);
-        self.aside_until.store(micros(now + time).max(1), Ordering::Relaxed);
+    pub(super) fn eject(&self, settings: &PlacementSettings, now: Duration) {
+        let doublings = self.ejection_count.fetch_add(1, Ordering::Relaxed).min(31);
+        let time = settings.ejection_base.saturating_mul(1 << doublings).min(settings.ejection_cap);
+        self.ejected_until.store(micros(now + time).max(1), Ordering::Relaxed);
     }
 
     /// Puts the next probe off without a strike, as after a refusal, which says that the guard
     /// works but nothing of the server.
     pub(super) fn postpone_probe(&self, settings: &PlacementSettings, now: Duration) {
-        self.aside_until.store(micros(now + settings.aside_base).max(1), Ordering::Relaxed);
+        self.ejected_until.store(micros(now + settings.ejection_base).max(1), Ordering::Relaxed);
     }
 
     /// Takes the endpoint back into service, cold and with a clean record. Its strikes stay until
     /// it has warmed up, so that one which fails again at once is set aside for longer.
-    pub(super) fn take_back(&self, now: Duration) {
+    pub(super) fn reinstate(&self, now: Duration) {
         self.clear_failures();
         self.latencies.all().for_each(LatencyMean::reset);
-        self.warm_from.store(signed_micros(now), Ordering::Relaxed);
-        self.aside_until.store(0, Ordering::Relaxed);
+        self.warm_up_start.store(signed_micros(now), Ordering::Relaxed);
+        self.ejected_until.store(0, Ordering::Relaxed);
     }
 
     /// Forgets old strikes.
-    pub(super) fn clear_strikes(&self) {
-        self.strikes.store(0, Ordering::Relaxed);
+    pub(super) fn reset_ejection_count(&self) {
+        self.ejection_count.store(0, Ordering::Relaxed);
     }
 
-    pub(super) fn aside_until(&self) -> u64 {
-        self.aside_until.load(Ordering::Relaxed)
+    pub(super) fn ejected_until(&self) -> u64 {
+        self.ejected_until.load(Ordering::Relaxed)
     }
 }
 
@@ -257,24 +257,24 @@
     /// Our requests in flight.
     pub in_flight: u32,
     /// Slots counted on now.
-    pub share: f64,
+    pub effective_slots: f64,
     /// Whether it is set aside.
-    pub is_aside: bool,
+    pub is_ejected: bool,
     /// Times it was set aside since it last ran well.
-    pub strikes: u32,
+    pub ejection_count: u32,
     /// Whether it is leaving.
     pub is_leaving: bool,
 }
 
 impl EndpointState {
-    pub(super) fn of(record: &EndpointRecord, gauge: &EndpointGauge, share: f64) -> Self {
+    pub(super) fn of(record: &EndpointRecord, gauge: &EndpointGauge, effective_slots: f64) -> Self {
         Self {
             id: record.id,
             incarnation: record.incarnation,
             in_flight: gauge.in_flight(),
-            share,
-            is_aside: gauge.is_aside(),
-            strikes: gauge.strikes.load(Ordering::Relaxed),
+            effective_slots,
+            is_ejected: gauge.is_ejected(),
+            ejection_count: gauge.ejection_count.load(Ordering::Relaxed),
             is_leaving: gauge.is_leaving(),
         }
     }
--- a/components/decide/src/placing/mean.rs
+++ b/components/decide/src/placing/mean.rs
@@ -10,11 +10,11 @@
 
 /// Time without a sample in which a figure halves its weight: a second or two, so that a server that
 /// was slow or failed is tried again soon, by one request of each daemon.
-const FADING_MICROS: u64 = 2_000_000;
+const HALF_LIFE_MICROS: u64 = 2_000_000;
 
 /// Kinds of work with a mean of their own at one endpoint: twice the routes of a large service that differ
 /// in their figures. Kinds beyond them share cells.
-const KINDS: usize = 16;
+const WORK_CELLS: usize = 16;
 
 /// A running mean of latencies with the number of samples.
 #[derive(Debug, Default)]
@@ -34,33 +34,33 @@
         let before = self.samples.fetch_add(1, Ordering::Relaxed);
         // The first samples weigh evenly, or the very first would count for most of the mean.
         let weight = u64::from(before).saturating_add(1).min(MEAN_WEIGHT);
-        let mean = |held: u64| Some((held * (weight - 1) + latency) / weight);
+        let mean = |current: u64| Some((current * (weight - 1) + latency) / weight);
         // The closure always gives a value, so the update cannot fail.
         let _ = self.mean.fetch_update(Ordering::Relaxed, Ordering::Relaxed, mean);
         before.saturating_add(1)
     }
 
-    /// Gives the mean where a sample came lately.
-    pub(super) fn fresh(&self, now: Duration) -> Option<Duration> {
+    /// Returns the mean where a sample came lately.
+    pub(super) fn recent(&self, now: Duration) -> Option<Duration> {
         let idle = micros(now).saturating_sub(self.at.load(Ordering::Relaxed));
-        let is_fresh = self.samples.load(Ordering::Relaxed) > 0 && idle < FADING_MICROS;
-        is_fresh.then(|| Duration::from_micros(self.mean.load(Ordering::Relaxed)))
+        let is_recent = self.samples.load(Ordering::Relaxed) > 0 && idle < HALF_LIFE_MICROS;
+        is_recent.then(|| Duration::from_micros(self.mean.load(Ordering::Relaxed)))
     }
 
-    /// Gives the mean, nearer to what is usual the longer no sample came.
-    pub(super) fn faded(&self, usual: Duration, now: Duration) -> Duration {
+    /// Returns the mean, nearer to what is usual the longer no sample came.
+    pub(super) fn decayed_towards(&self, usual: Duration, now: Duration) -> Duration {
         if self.samples.load(Ordering::Relaxed) == 0 {
             return usual;
         }
         let idle = micros(now).saturating_sub(self.at.load(Ordering::Relaxed));
-        let weight = fading(idle);
+        let weight = decay_factor(idle);
         let mean = Duration::from_micros(self.mean.load(Ordering::Relaxed));
         mean.mul_f64(weight) + usual.mul_f64(1.0 - weight)
     }
 
-    /// Gives the mean once there are enough samples.
-    pub(super) fn known(&self, least: u32) -> Option<Duration> {
-        (self.samples.load(Ordering::Relaxed) >= least)
+    /// Returns the mean once there are enough samples.
+    pub(super) fn mean_if_sampled(&self, min_samples: u32) -> Option<Duration> {
+        (self.samples.load(Ordering::Relaxed) >= min_samples)
             .then(|| Duration::from_micros(self.mean.load(Ordering::Relaxed)))
     }
 
@@ -76,7 +76,7 @@
 /// them left a data centre whose own server was nearly idle.
 #[derive(Debug, Default)]
 pub(super) struct WorkMeans<T> {
-    cells: [WorkCell<T>; KINDS],
+    cells: [WorkCell<T>; WORK_CELLS],
 }
 
 #[derive(Debug, Default)]
@@ -87,29 +87,29 @@
 }
 
 impl<T> WorkCell<T> {
-    /// Tells whether the cell is that of a kind, after claiming it for the kind where it is free. Only a
+    /// Returns whether the cell is that of a kind, after claiming it for the kind where it is free. Only a
     /// free cell is written to: all of them are looked at for each request that is placed.
-    fn is_of(&self, work: u64) -> bool {
+    fn claim_for(&self, work: u64) -> bool {
         match self.work.load(Ordering::Relaxed) {
             0 => {
                 let claimed =
                     self.work.compare_exchange(0, work, Ordering::Relaxed, Ordering::Relaxed);
                 claimed.is_ok() || claimed == Err(work)
             }
-            held => held == work,
+            current => current == work,
         }
     }
 }
 
 impl<T> WorkMeans<T> {
-    /// Gives the mean of a kind of work, in a cell that is claimed at its first use.
-    pub(super) fn of(&self, work: WorkKey) -> &T {
+    /// Returns the mean of a kind of work, in a cell that is claimed at its first use.
+    pub(super) fn for_kind(&self, work: WorkKey) -> &T {
         // Zero marks a free cell.
         let work = work.wrapping_add(1).max(1);
         // Below the number of cells.
-        let first = (work % KINDS as u64) as usize;
+        let first = (work % WORK_CELLS as u64) as usize;
         let mut probed = self.cells[first..].iter().chain(&self.cells[..first]);
-        &probed.find(|cell| cell.is_of(work)).unwrap_or(&self.cells[first]).mean
+        &probed.find(|cell| cell.claim_for(work)).unwrap_or(&self.cells[first]).mean
     }
 
     pub(super) fn all(&self) -> impl Iterator<Item = &T> {
@@ -123,9 +123,9 @@
 
 impl SizeMean {
     pub(super) fn add(&self, bytes: u64) {
-        let mean = |held: u64| match held {
+        let mean = |current: u64| match current {
             0 => Some(bytes),
-            held => Some((held * (MEAN_WEIGHT - 1) + bytes) / MEAN_WEIGHT),
+            current => Some((current * (MEAN_WEIGHT - 1) + bytes) / MEAN_WEIGHT),
         };
         // The closure always gives a value, so the update cannot fail.
         let _ = self.0.fetch_update(Ordering::Relaxed, Ordering::Relaxed, mean);
@@ -136,9 +136,9 @@
     }
 }
 
-/// Gives what a figure still counts for when it is so many microseconds old.
-pub(super) fn fading(idle: u64) -> f64 {
-    (-(idle as f64) / FADING_MICROS as f64).exp2()
+/// Returns what a figure still counts for when it is so many microseconds old.
+pub(super) fn decay_factor(idle: u64) -> f64 {
+    (-(idle as f64) / HALF_LIFE_MICROS as f64).exp2()
 }
 
 pub(super) fn micros(time: Duration) -> u64 {
--- a/components/decide/src/placing/outlier.rs
+++ b/components/decide/src/placing/outlier.rs
@@ -14,7 +14,7 @@
 
 impl PlacementTable {
     /// Judges an endpoint by the end of a request.
-    pub(super) fn judge(
+    pub(super) fn record_outcome(
         &self,
         index: usize,
         work: WorkKey,
@@ -25,43 +25,43 @@
     ) {
         let entry = &self.entries[index];
         match outcome {
-            CallOutcome::Success => entry.gauge.note_end(false, now),
-            CallOutcome::Failure | CallOutcome::Unreachable => entry.gauge.note_end(true, now),
+            CallOutcome::Success => entry.gauge.record_end(false, now),
+            CallOutcome::Failure | CallOutcome::Unreachable => entry.gauge.record_end(true, now),
             CallOutcome::Refused | CallOutcome::Leaving => {}
         }
         match outcome {
             CallOutcome::Leaving => entry.gauge.mark_leaving(),
             CallOutcome::Refused if is_probe => entry.gauge.postpone_probe(&self.settings, now),
-            CallOutcome::Refused => self.note_refusal(entry, now),
+            CallOutcome::Refused => self.record_refusal(entry, now),
             _ if is_probe => self.judge_probe(entry, work, outcome, latency, now),
-            CallOutcome::Success => self.note_success(entry, work, latency, now),
-            CallOutcome::Failure => self.note_failures(entry, 1, now),
+            CallOutcome::Success => self.record_success(entry, work, latency, now),
+            CallOutcome::Failure => self.record_failures(entry, 1, now),
             CallOutcome::Unreachable => {
-                self.note_failures(entry, self.settings.unreachable_weight, now);
+                self.record_failures(entry, self.settings.unreachable_weight, now);
             }
         }
     }
 
     /// Takes endpoints back, the longest aside first, until no more than the cap allows are aside.
     /// Needed when healthy endpoints leave while others are aside.
-    pub(super) fn release_excess(&self, now: Duration) {
-        let _held = self.lock_aside();
-        let mut aside: Vec<_> = self.staying().filter(|entry| entry.gauge.is_aside()).collect();
-        aside.sort_by_key(|entry| entry.gauge.aside_until());
-        let excess = aside.len().saturating_sub(self.settings.most_aside(self.staying().count()));
-        aside.iter().take(excess).for_each(|entry| entry.gauge.take_back(now));
+    pub(super) fn reinstate_excess(&self, now: Duration) {
+        let _guard = self.lock_ejection();
+        let mut ejected: Vec<_> = self.not_leaving().filter(|entry| entry.gauge.is_ejected()).collect();
+        ejected.sort_by_key(|entry| entry.gauge.ejected_until());
+        let excess = ejected.len().saturating_sub(self.settings.max_ejected(self.not_leaving().count()));
+        ejected.iter().take(excess).for_each(|entry| entry.gauge.reinstate(now));
     }
 
-    /// Gives the endpoints that are not leaving. Those that are must not count for the cap, or the
+    /// Returns the endpoints that are not leaving. Those that are must not count for the cap, or the
     /// last one that stays could be set aside.
-    fn staying(&self) -> impl Iterator<Item = &TableEntry> {
+    fn not_leaving(&self) -> impl Iterator<Item = &TableEntry> {
         self.entries.iter().filter(|entry| !entry.gauge.is_leaving())
     }
 
     /// A refusal means that the server is loaded. Its share goes down for a moment; a higher load
     /// that it reported itself stands.
-    fn note_refusal(&self, entry: &TableEntry, now: Duration) {
-        let load = entry.gauge.live_hint(now).max(self.settings.refusal_load);
+    fn record_refusal(&self, entry: &TableEntry, now: Duration) {
+        let load = entry.gauge.current_hint(now).max(self.settings.refusal_load);
         entry.gauge.set_hint(load, now + self.settings.hint_life);
     }
 
@@ -75,55 +75,55 @@
         now: Duration,
     ) {
         if outcome == CallOutcome::Success && !self.is_slow(entry, work, latency) {
-            entry.gauge.take_back(now);
+            entry.gauge.reinstate(now);
         } else {
-            entry.gauge.set_aside(&self.settings, now);
+            entry.gauge.eject(&self.settings, now);
         }
     }
 
-    fn note_success(&self, entry: &TableEntry, work: WorkKey, latency: Duration, now: Duration) {
+    fn record_success(&self, entry: &TableEntry, work: WorkKey, latency: Duration, now: Duration) {
         let settings = &self.settings;
         entry.gauge.clear_failures();
-        if entry.gauge.warmth(settings, now) >= 1.0 {
-            entry.gauge.clear_strikes();
+        if entry.gauge.warm_fraction(settings, now) >= 1.0 {
+            entry.gauge.reset_ejection_count();
         }
         let mean = entry.gauge.latency(work);
         let samples = mean.add(latency, now);
         // Each judgement looks at all peers, so it is made once per handful of requests.
         let is_due = samples.is_multiple_of(settings.slow_samples.max(1));
-        match mean.known(settings.slow_samples) {
-            Some(mean) if is_due && self.is_slow(entry, work, mean) => self.try_aside(entry, now),
+        match mean.mean_if_sampled(settings.slow_samples) {
+            Some(mean) if is_due && self.is_slow(entry, work, mean) => self.try_eject(entry, now),
             _ => {}
         }
     }
 
-    fn note_failures(&self, entry: &TableEntry, count: u32, now: Duration) {
+    fn record_failures(&self, entry: &TableEntry, count: u32, now: Duration) {
         if entry.gauge.add_failures(count) >= self.settings.failure_limit {
-            self.try_aside(entry, now);
+            self.try_eject(entry, now);
         }
     }
 
     /// Sets an endpoint aside, or lowers its share for a while if the cap is reached. With two of
     /// five gone and one aside, the other would else take a fifth of the calls, which is more than
     /// the retry budget covers. All shares low alike leave the division as it was.
-    fn try_aside(&self, entry: &TableEntry, now: Duration) {
-        let _held = self.lock_aside();
-        let aside = self.staying().filter(|entry| entry.gauge.is_aside()).count();
-        match aside < self.settings.most_aside(self.staying().count()) {
-            _ if entry.gauge.is_aside() || !self.settings.weights.outliers => {}
-            true => entry.gauge.set_aside(&self.settings, now),
+    fn try_eject(&self, entry: &TableEntry, now: Duration) {
+        let _guard = self.lock_ejection();
+        let ejected = self.not_leaving().filter(|entry| entry.gauge.is_ejected()).count();
+        match ejected < self.settings.max_ejected(self.not_leaving().count()) {
+            _ if entry.gauge.is_ejected() || !self.settings.weights.outliers => {}
+            true => entry.gauge.eject(&self.settings, now),
             false => entry.gauge.set_hint(1.0, now + self.settings.hint_life),
         }
     }
 
-    /// Tells whether a latency is far above the median of the other endpoints in service.
+    /// Returns whether a latency is far above the median of the other endpoints in service.
     fn is_slow(&self, entry: &TableEntry, work: WorkKey, latency: Duration) -> bool {
         let settings = &self.settings;
         let mut peers: Vec<_> = self
             .entries
             .iter()
-            .filter(|peer| peer.record.id != entry.record.id && !peer.gauge.is_aside())
-            .filter_map(|peer| peer.gauge.latency(work).known(settings.slow_samples))
+            .filter(|peer| peer.record.id != entry.record.id && !peer.gauge.is_ejected())
+            .filter_map(|peer| peer.gauge.latency(work).mean_if_sampled(settings.slow_samples))
             .collect();
         if peers.len() < MIN_PEERS {
             return false;
--- a/components/decide/src/placing/settings.rs
+++ b/components/decide/src/placing/settings.rs
@@ -49,11 +49,11 @@
     pub slow_samples: u32,
     /// Largest fraction of endpoints set aside at once. Default a third: the others can take its
     /// load. One may always be set aside where there are two or more.
-    pub aside_share: f64,
+    pub max_ejected_share: f64,
     /// First time aside; it doubles with each probe that fails. Default 5 s.
-    pub aside_base: Duration,
+    pub ejection_base: Duration,
     /// Longest time aside. Default 60 s.
-    pub aside_cap: Duration,
+    pub ejection_cap: Duration,
     /// Wait for a slot in the own data centre that a kilobyte is worth which would have to cross to
     /// another, where the answer is in time either way. Default 4 ms.
     pub near_wait: Duration,
@@ -98,9 +98,9 @@
             slow_ratio: 4.0,
             slow_excess: Duration::from_millis(5),
             slow_samples: 8,
-            aside_share: 1.0 / 3.0,
-            aside_base: Duration::from_secs(5),
-            aside_cap: Duration::from_secs(60),
+            max_ejected_share: 1.0 / 3.0,
+            ejection_base: Duration::from_secs(5),
+            ejection_cap: Duration::from_secs(60),
             near_wait: Duration::from_millis(4),
             weights: PlacementWeights::default(),
         }
@@ -108,10 +108,10 @@
 }
 
 impl PlacementSettings {
-    /// Gives how many of `count` endpoints may be set aside at once. At least one stays.
-    pub fn most_aside(&self, count: usize) -> usize {
+    /// Returns how many of `count` endpoints may be set aside at once. At least one stays.
+    pub fn max_ejected(&self, count: usize) -> usize {
         // Both casts are of small non-negative counts.
-        let share = (count as f64 * self.aside_share).floor() as usize;
+        let share = (count as f64 * self.max_ejected_share).floor() as usize;
         share.max(1).min(count.saturating_sub(1))
     }
 }
--- a/components/decide/src/placing/draw.rs
+++ b/components/decide/src/placing/two_choices.rs
@@ -9,13 +9,13 @@
 pub(super) struct Candidate {
     pub(super) index: usize,
     pub(super) distance: EndpointDistance,
-    pub(super) share: f64,
+    pub(super) effective_slots: f64,
     pub(super) in_flight: u32,
 }
 
 impl Candidate {
     fn load(&self) -> f64 {
-        f64::from(self.in_flight) / self.share
+        f64::from(self.in_flight) / self.effective_slots
     }
 }
 
@@ -54,19 +54,19 @@
     least.map(|(_, tier)| tier)
 }
 
-/// Gives the portion of requests that leave a tier with this load.
+/// Returns the portion of requests that leave a tier with this load.
 fn spill_chance(load: f64, settings: &PlacementSettings) -> f64 {
     let width = (settings.spill_full - settings.spill_start).max(f64::EPSILON);
     ((load - settings.spill_start) / width).clamp(0.0, 1.0)
 }
 
 fn tier_load(candidates: &[Candidate], tier: EndpointDistance) -> Option<f64> {
-    let (mut in_flight, mut share) = (0, 0.0);
+    let (mut in_flight, mut effective_slots) = (0, 0.0);
     for candidate in of_tier(candidates, tier) {
         in_flight += candidate.in_flight;
-        share += candidate.share;
+        effective_slots += candidate.effective_slots;
     }
-    (share > 0.0).then(|| f64::from(in_flight) / share)
+    (effective_slots > 0.0).then(|| f64::from(in_flight) / effective_slots)
 }
 
 /// Draws one candidate of a tier by share, leaving out one already drawn.
@@ -76,15 +76,15 @@
     drawn: Option<usize>,
     rng: &mut (impl Rng + ?Sized),
 ) -> Option<Candidate> {
-    let left = || of_tier(candidates, tier).filter(|candidate| Some(candidate.index) != drawn);
-    let total: f64 = left().map(|candidate| candidate.share).sum();
+    let remaining = || of_tier(candidates, tier).filter(|candidate| Some(candidate.index) != drawn);
+    let total: f64 = remaining().map(|candidate| candidate.effective_slots).sum();
     let mut point = rng.random::<f64>() * total;
-    let hit = left().find(|candidate| {
-        point -= candidate.share;
+    let chosen = remaining().find(|candidate| {
+        point -= candidate.effective_slots;
         point < 0.0
     });
     // Rounding can leave the point at the very end of the range.
-    hit.or_else(|| left().last()).copied()
+    chosen.or_else(|| remaining().last()).copied()
 }
 
 fn of_tier(candidates: &[Candidate], tier: EndpointDistance) -> impl Iterator<Item = &Candidate> {
--- a/components/decide/src/quarantine.rs
+++ b/components/decide/src/quarantine.rs
@@ -33,10 +33,10 @@
 pub struct QuarantineSettings {
     /// How long a convicted request is refused. Default 10 min: a resend costs one server at most
     /// six times an hour, and a repaired service takes the request again soon.
-    pub hold: Duration,
+    pub refusal_time: Duration,
     /// How long evidence is kept. Default 1 h: a caller's resend of an hour later is still tried
-    /// alone. At least `hold`.
-    pub keep: Duration,
+    /// alone. At least `refusal_time`.
+    pub evidence_life: Duration,
     /// Requests kept at most. Default 1024, about 200 KB: two crashes a day leave some 24 each.
     pub capacity: usize,
     /// Crashes with a request in flight, without a success since, after which it is refused.
@@ -49,8 +49,8 @@
 impl Default for QuarantineSettings {
     fn default() -> Self {
         Self {
-            hold: Duration::from_secs(600),
-            keep: Duration::from_secs(3600),
+            refusal_time: Duration::from_secs(600),
+            evidence_life: Duration::from_secs(3600),
             capacity: 1024,
             crash_limit: None,
         }
@@ -93,7 +93,7 @@
 }
 
 impl QuarantineTable {
-    /// Makes an empty table.
+    /// Creates an empty table.
     pub fn new(settings: QuarantineSettings) -> Self {
         Self {
             settings,
@@ -106,11 +106,11 @@
     /// Decides how a request may run.
     pub fn judge(&self, fingerprint: Fingerprint, now: Duration) -> QuarantineVerdict {
         let Some(record) = self.records.get(&fingerprint) else { return QuarantineVerdict::Clear };
-        let since = now.saturating_sub(self.settings.keep);
+        let since = now.saturating_sub(self.settings.evidence_life);
         if let Some(limit) = self.settings.crash_limit {
             return self.judge_crashes(record, limit, now);
         }
-        match record.convicted_at(since).map(|at| (at + self.settings.hold).saturating_sub(now)) {
+        match record.convicted_at(since).map(|at| (at + self.settings.refusal_time).saturating_sub(now)) {
             Some(left) if !left.is_zero() => QuarantineVerdict::Refused(left),
             _ if record.is_suspect(since) => QuarantineVerdict::TryAlone,
             _ => QuarantineVerdict::Clear,
@@ -124,15 +124,15 @@
         limit: u32,
         now: Duration,
     ) -> QuarantineVerdict {
-        let since = now.saturating_sub(self.settings.keep);
-        let left = (record.last_crash() + self.settings.hold).saturating_sub(now);
+        let since = now.saturating_sub(self.settings.evidence_life);
+        let left = (record.last_crash_at() + self.settings.refusal_time).saturating_sub(now);
         match record.crash_count(since) >= limit as usize && !left.is_zero() {
             true => QuarantineVerdict::Refused(left),
             false => QuarantineVerdict::Clear,
         }
     }
 
-    /// Takes note of a crash. Several copies of one request in flight count as that request alone.
+    /// Records a crash. Several copies of one request in flight count as that request alone.
     pub fn record_crash(&mut self, report: &CrashReport<'_>) {
         let mut fingerprints = report.in_flight.to_vec();
         fingerprints.sort_unstable();
@@ -145,16 +145,16 @@
         for fingerprint in fingerprints {
             let evidence =
                 CrashEvidence { at: report.at, occasion: report.occasion, kind, is_cleared: false };
-            self.merge_record(&SuspectRecord::of_one(fingerprint, evidence));
+            self.merge_record(&SuspectRecord::with_crash(fingerprint, evidence));
         }
         self.shrink();
     }
 
-    /// Takes note that a request ran to its end at `now`, which clears it of earlier crashes.
+    /// Records that a request ran to its end at `now`, which clears it of earlier crashes.
     pub fn record_success(&mut self, fingerprint: Fingerprint, now: Duration) {
         self.successes.insert(fingerprint, now);
         let record = self.records.get_mut(&fingerprint);
-        if record.is_some_and(|record| record.clear_until(now)) {
+        if record.is_some_and(|record| record.clear_before(now)) {
             self.changed.insert(fingerprint);
         }
     }
@@ -168,30 +168,30 @@
 
     /// Drops what is older than the settings keep.
     pub fn expire(&mut self, now: Duration) {
-        let since = now.saturating_sub(self.settings.keep);
-        self.records.retain(|_, record| record.last_crash() >= since);
+        let since = now.saturating_sub(self.settings.evidence_life);
+        self.records.retain(|_, record| record.last_crash_at() >= since);
         self.changed.retain(|fingerprint| self.records.contains_key(fingerprint));
     }
 
-    /// Gives the records that changed since the last call, to be sent to other daemons. A merge
+    /// Returns the records that changed since the last call, to be sent to other daemons. A merge
     /// that brings nothing new changes nothing, so an exchange between daemons comes to rest.
     pub fn take_changed(&mut self) -> Vec<SuspectRecord> {
         let changed = std::mem::take(&mut self.changed);
         changed.iter().filter_map(|fingerprint| self.records.get(fingerprint)).cloned().collect()
     }
 
-    /// Gives all records, by fingerprint, for other daemons and for a dump.
+    /// Returns all records, by fingerprint, for other daemons and for a dump.
     pub fn export(&self) -> Vec<SuspectRecord> {
         let ordered: BTreeMap<_, _> = self.records.iter().collect();
         ordered.into_values().cloned().collect()
     }
 
-    /// Gives the number of records held.
+    /// Returns the number of records held.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Tells whether no record is held.
+    /// Returns whether no record is held.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
@@ -205,7 +205,7 @@
         // A much used request has often succeeded elsewhere by the time the crash is heard of.
         // Without this each of its copies would wait for an empty server.
         if let Some(at) = self.successes.last(fingerprint) {
-            record.clear_until(at);
+            record.clear_before(at);
         }
         if *record != before {
             self.changed.insert(fingerprint);
@@ -219,7 +219,7 @@
             return;
         }
         let mut ages: Vec<_> =
-            self.records.values().map(|record| (record.last_crash(), record.fingerprint)).collect();
+            self.records.values().map(|record| (record.last_crash_at(), record.fingerprint)).collect();
         ages.sort_unstable();
         for (_, fingerprint) in ages.into_iter().take(excess) {
             self.records.remove(&fingerprint);
--- a/components/decide/src/quarantine/record.rs
+++ b/components/decide/src/quarantine/record.rs
@@ -42,13 +42,13 @@
 }
 
 impl SuspectRecord {
-    /// Makes a record without evidence.
+    /// Creates a record without evidence.
     pub fn new(fingerprint: Fingerprint) -> Self {
         Self { fingerprint, evidence: Vec::new() }
     }
 
-    /// Makes a record of one crash.
-    pub fn of_one(fingerprint: Fingerprint, evidence: CrashEvidence) -> Self {
+    /// Creates a record of one crash.
+    pub fn with_crash(fingerprint: Fingerprint, evidence: CrashEvidence) -> Self {
         Self { fingerprint, evidence: vec![evidence] }
     }
 
@@ -65,7 +65,7 @@
 
     /// Clears crashes before `at`. Trials stay: a request that crashed its server alone is no less
     /// harmful for succeeding now and then. Returns whether any crash was cleared by it.
-    pub fn clear_until(&mut self, at: Duration) -> bool {
+    pub fn clear_before(&mut self, at: Duration) -> bool {
         let mut has_changed = false;
         for evidence in &mut self.evidence {
             let is_due = evidence.at < at && evidence.kind != CrashKind::Trial;
@@ -75,16 +75,16 @@
         has_changed
     }
 
-    /// Gives the time of the newest crash, zero without any.
-    pub fn last_crash(&self) -> Duration {
+    /// Returns the time of the newest crash, zero without any.
+    pub fn last_crash_at(&self) -> Duration {
         self.evidence.iter().map(|evidence| evidence.at).max().unwrap_or_default()
     }
 
-    /// Gives the time of the crash that convicted the request, if one since `since` did: a trial,
+    /// Returns the time of the crash that convicted the request, if one since `since` did: a trial,
     /// or the second crash in which it was alone by chance.
     pub fn convicted_at(&self, since: Duration) -> Option<Duration> {
         let mut alone = 0;
-        self.standing(since)
+        self.uncleared(since)
             .filter(|evidence| match evidence.kind {
                 CrashKind::Trial => true,
                 CrashKind::Alone => {
@@ -99,15 +99,15 @@
 
     /// Counts the crashes since `since` that stand against the request.
     pub fn crash_count(&self, since: Duration) -> usize {
-        self.standing(since).count()
+        self.uncleared(since).count()
     }
 
-    /// Tells whether any crash since `since` stands against the request.
+    /// Returns whether any crash since `since` stands against the request.
     pub fn is_suspect(&self, since: Duration) -> bool {
-        self.standing(since).next().is_some()
+        self.uncleared(since).next().is_some()
     }
 
-    fn standing(&self, since: Duration) -> impl Iterator<Item = &CrashEvidence> {
+    fn uncleared(&self, since: Duration) -> impl Iterator<Item = &CrashEvidence> {
         self.evidence.iter().filter(move |evidence| !evidence.is_cleared && evidence.at >= since)
     }
 
--- a/components/decide/src/quarantine/successes.rs
+++ b/components/decide/src/quarantine/successes.rs
@@ -27,10 +27,10 @@
         self.cells[cell_of(fingerprint)] = (fingerprint, at);
     }
 
-    /// Gives the last success that is remembered.
+    /// Returns the last success that is remembered.
     pub(super) fn last(&self, fingerprint: Fingerprint) -> Option<Duration> {
-        let (held, at) = self.cells[cell_of(fingerprint)];
-        (held == fingerprint && !at.is_zero()).then_some(at)
+        let (stored, at) = self.cells[cell_of(fingerprint)];
+        (stored == fingerprint && !at.is_zero()).then_some(at)
     }
 }
 
--- a/components/decide/src/retrying.rs
+++ b/components/decide/src/retrying.rs
@@ -73,15 +73,15 @@
 /// Part of the retries, as a divisor, that may go to requests which a server has failed. A server that
 /// fails a request has run it, and the calls that it made for it are made again: at a service that others
 /// mostly call, they are many beside its own requests.
-const FAILURE_PART: u64 = 4;
+const FAILURE_RETRY_DIVISOR: u64 = 4;
 
 impl RetrySettings {
-    /// Gives the settings of the retries after failures of servers, which are a part of all.
+    /// Returns the settings of the retries after failures of servers, which are a part of all.
     #[must_use]
     pub fn after_failures(&self) -> Self {
         Self {
-            deposit: self.deposit / FAILURE_PART,
-            cap: self.cap / FAILURE_PART,
+            deposit: self.deposit / FAILURE_RETRY_DIVISOR,
+            cap: self.cap / FAILURE_RETRY_DIVISOR,
             floor: 0,
             ..*self
         }
@@ -120,7 +120,7 @@
 }
 
 impl RetryBudget {
-    /// Makes a full budget at `now`.
+    /// Creates a full budget at `now`.
     pub fn new(settings: RetrySettings, now: Duration) -> Self {
         Self {
             settings,
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Gives the settings.
+    /// Returns the settings.
     pub fn settings(&self) -> &RetrySettings {
         &self.settings
     }
@@ -155,11 +155,11 @@
     pub fn take(&self, now: Duration) -> bool {
         self.pay_floor(now);
         self.tokens
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |held| held.checked_sub(RETRY_COST))
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |tokens| tokens.checked_sub(RETRY_COST))
             .is_ok()
     }
 
-    /// Gives the whole retries left.
+    /// Returns the whole retries left.
     pub fn left(&self) -> u64 {
         self.tokens.load(Ordering::Relaxed) / RETRY_COST
     }
@@ -169,7 +169,7 @@
         // with 45 retries between them none made any, however many requests paid in.
         let part = self.settings.cap / self.fleet.load(Ordering::Relaxed);
         let cap = part.max(RETRY_COST.min(self.settings.cap));
-        let paid = |held: u64| Some(held.saturating_add(amount).min(cap));
+        let paid = |tokens: u64| Some(tokens.saturating_add(amount).min(cap));
         // The closure always gives a value, so the update cannot fail.
         let _ = self.tokens.fetch_update(Ordering::Relaxed, Ordering::Relaxed, paid);
     }
--- a/components/decide/src/transferring.rs
+++ b/components/decide/src/transferring.rs
@@ -21,11 +21,11 @@
 
 /// Bodies sent at once. Two, so that the link has bytes while one of them waits for its receiver's
 /// acknowledgements; more only makes each take longer.
-const AT_ONCE: usize = 2;
+const MAX_SENDING: usize = 2;
 /// Time without a byte after which a turn lapses. Above a round trip over a link whose queue is full,
 /// or a full link would let more and more answers have turns; below what callers would notice when a
 /// receiver is gone.
-const STALL: Duration = Duration::from_millis(250);
+const STALL_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Whether a body may go on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,7 +41,7 @@
     /// When it last sent bytes, where it has a turn.
     sent_at: Option<Duration>,
     /// When it was told that it could have a turn, while it waits.
-    called_at: Option<Duration>,
+    offered_at: Option<Duration>,
     /// When it first had a turn.
     began_at: Option<Duration>,
 }
@@ -53,87 +53,87 @@
     /// Those without a turn, in the order in which they came.
     waiting: VecDeque<TransferId>,
     /// Time from the first turn of a body to its end.
-    takes: ServiceEstimate,
+    transfer_time: ServiceEstimate,
 }
 
 impl TransferQueue {
     /// Adds a body, without a turn as yet.
     pub fn begin(&mut self) -> TransferId {
-        self.open.insert(OpenTransfer { sent_at: None, called_at: None, began_at: None })
+        self.open.insert(OpenTransfer { sent_at: None, offered_at: None, began_at: None })
     }
 
     /// Asks whether a body may send its next bytes at `now`.
     pub fn ask(&mut self, id: TransferId, now: Duration) -> TransferTurn {
-        self.lapse(now);
+        self.revoke_stalled(now);
         let Some(transfer) = self.open.get(id) else { return TransferTurn::Go };
-        let has_turn = transfer.sent_at.is_some();
+        let has_permit = transfer.sent_at.is_some();
         let is_next = self.waiting.front().is_none_or(|first| *first == id);
-        if has_turn || (is_next && self.sending() < AT_ONCE) {
-            self.waiting.retain(|held| *held != id);
+        if has_permit || (is_next && self.sending_count() < MAX_SENDING) {
+            self.waiting.retain(|waiting| *waiting != id);
             if let Some(transfer) = self.open.get_mut(id) {
                 let began_at = transfer.began_at.or(Some(now));
-                *transfer = OpenTransfer { sent_at: Some(now), called_at: None, began_at };
+                *transfer = OpenTransfer { sent_at: Some(now), offered_at: None, began_at };
             }
             return TransferTurn::Go;
         }
         if !self.waiting.contains(&id) {
             self.waiting.push_back(id);
         }
-        TransferTurn::Wait(STALL)
+        TransferTurn::Wait(STALL_TIMEOUT)
     }
 
-    /// Takes note of how long a body took that has gone over the link whole.
+    /// Records how long a body took that has gone over the link whole.
     pub fn note_whole(&mut self, id: TransferId, now: Duration) {
         if let Some(began_at) = self.open.get(id).and_then(|transfer| transfer.began_at) {
-            self.takes.add(now.saturating_sub(began_at), now);
+            self.transfer_time.add(now.saturating_sub(began_at), now);
         }
     }
 
-    /// Gives what the link carries before a body that comes now.
+    /// Returns what the link carries before a body that comes now.
     pub fn ahead(&self, now: Duration) -> LinkAhead {
-        let takes = self.takes.expected(now);
+        let transfer_time = self.transfer_time.expected(now);
         // Bounded by the requests that a guard takes at once.
         let coming = self.open.len() as u32;
-        let before = (coming + 1).saturating_sub(AT_ONCE as u32);
-        LinkAhead { wait: takes * before / AT_ONCE as u32, takes, coming }
+        let before = (coming + 1).saturating_sub(MAX_SENDING as u32);
+        LinkAhead { wait: transfer_time * before / MAX_SENDING as u32, takes: transfer_time, coming }
     }
 
     /// Ends a body, whether it was sent whole or its receiver left.
     pub fn end(&mut self, id: TransferId) {
         self.open.remove(id);
-        self.waiting.retain(|held| *held != id);
+        self.waiting.retain(|waiting| *waiting != id);
     }
 
-    /// Gives a body that waits and could have a turn now, to be told so.
+    /// Returns a body that waits and could have a turn now, to be told so.
     pub fn next_ready(&mut self, now: Duration) -> Option<TransferId> {
-        let next = self.waiting.front().copied().filter(|_| self.sending() < AT_ONCE)?;
-        self.open.get_mut(next)?.called_at.get_or_insert(now);
+        let next = self.waiting.front().copied().filter(|_| self.sending_count() < MAX_SENDING)?;
+        self.open.get_mut(next)?.offered_at.get_or_insert(now);
         Some(next)
     }
 
-    /// Gives how many bodies wait for a turn.
+    /// Returns how many bodies wait for a turn.
     pub fn held_back(&self) -> usize {
         self.waiting.len()
     }
 
-    fn sending(&self) -> usize {
+    fn sending_count(&self) -> usize {
         self.open.values().filter(|transfer| transfer.sent_at.is_some()).count()
     }
 
     /// Takes the turns back of those that send nothing. They ask again when their receivers take
     /// bytes.
-    fn lapse(&mut self, now: Duration) {
+    fn revoke_stalled(&mut self, now: Duration) {
         for transfer in self.open.values_mut() {
-            if transfer.sent_at.is_some_and(|at| now.saturating_sub(at) >= STALL) {
+            if transfer.sent_at.is_some_and(|at| now.saturating_sub(at) >= STALL_TIMEOUT) {
                 transfer.sent_at = None;
             }
         }
         // One whose receiver stopped while it waited does not come when it is called.
         let first = self.waiting.front().and_then(|first| self.open.get_mut(*first));
         if let Some(first) = first
-            && first.called_at.is_some_and(|at| now.saturating_sub(at) >= STALL)
+            && first.offered_at.is_some_and(|at| now.saturating_sub(at) >= STALL_TIMEOUT)
         {
-            first.called_at = None;
+            first.offered_at = None;
             self.waiting.pop_front();
         }
     }
--- a/components/decide/src/trip.rs
+++ b/components/decide/src/trip.rs
@@ -23,10 +23,10 @@
 const DRIFT_PER_MILLION: i64 = 200;
 /// Clocks that are remembered: several times the daemons of a large fleet, since each restart makes
 /// another. All are forgotten at once and learnt again from the next message of each.
-const MOST_CLOCKS: usize = 4096;
+const MAX_CLOCKS: usize = 4096;
 
 /// Time after the opening of a connection for which it tells how full the link is.
-pub const OPENING_TIME: Duration = Duration::from_secs(1);
+pub const OPENING_VALIDITY: Duration = Duration::from_secs(1);
 
 /// The opening of a connection, as the side that opened it measured it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -38,9 +38,9 @@
 }
 
 impl LinkOpening {
-    /// Tells whether a message that leaves at `sent_at`, by the same clock, closely follows it.
+    /// Returns whether a message that leaves at `sent_at`, by the same clock, closely follows it.
     pub fn is_followed_by(&self, sent_at: Duration) -> bool {
-        sent_at < self.began + self.took + OPENING_TIME
+        sent_at < self.began + self.took + OPENING_VALIDITY
     }
 }
 
@@ -60,13 +60,13 @@
 }
 
 impl TripClocks {
-    /// Takes note of a message that left at `sent_at` by its sender's clock and arrived at `now` by this
+    /// Records a message that left at `sent_at` by its sender's clock and arrived at `now` by this
     /// one's, and gives how much longer it was on its way than the fastest one. Both clocks have to go
     /// on while an instance is suspended, or its messages would count as late by that time from then on.
     pub fn note(&mut self, clock: ClockId, sent_at: Duration, now: Duration) -> Duration {
         let micros = signed_micros(now) - signed_micros(sent_at);
         let first = ClockOffset { micros, seen_at: now, opening: None };
-        let offset = self.offset_or(clock, first);
+        let offset = self.offset_or_insert(clock, first);
         let passed = signed_micros(now) - signed_micros(offset.seen_at);
         let drift = passed * DRIFT_PER_MILLION / 1_000_000;
         offset.micros = micros.min(offset.micros + drift);
@@ -77,7 +77,7 @@
         opening.map_or(late, |opening| late.max(opening.took))
     }
 
-    /// Takes note of the opening of a connection that was accepted at `accepted_at`, where nothing is
+    /// Records the opening of a connection that was accepted at `accepted_at`, where nothing is
     /// known yet of the clock that it was measured by.
     ///
     /// The time from its beginning to its acceptance is that of three trips at least. It can make
@@ -85,12 +85,12 @@
     pub fn note_opening(&mut self, clock: ClockId, opening: LinkOpening, accepted_at: Duration) {
         let micros = signed_micros(accepted_at) - signed_micros(opening.began);
         let first = ClockOffset { micros, seen_at: accepted_at, opening: Some(opening) };
-        self.offset_or(clock, first);
+        self.offset_or_insert(clock, first);
     }
 
-    /// Gives what is known of a clock, `first` where that is nothing.
-    fn offset_or(&mut self, clock: ClockId, first: ClockOffset) -> &mut ClockOffset {
-        if self.offsets.len() >= MOST_CLOCKS && !self.offsets.contains_key(&clock) {
+    /// Returns what is known of a clock, `first` where that is nothing.
+    fn offset_or_insert(&mut self, clock: ClockId, first: ClockOffset) -> &mut ClockOffset {
+        if self.offsets.len() >= MAX_CLOCKS && !self.offsets.contains_key(&clock) {
             self.offsets.clear();
         }
         self.offsets.entry(clock).or_insert(first)
