--- a/components/decide/src/admitting.rs
+++ b/components/decide/src/admitting.rs
@@ -1,11 +1,11 @@
 //! Admission at the daemon beside a server, which alone knows what the server is running.
 //!
-//! Made for more requests than the server's slots can run: twice its capacity, a burst from one
-//! caller, long documents among short queries. Without a guard all are taken, each waits longer
+//! More requests can come than the server's slots can run: twice its capacity, a burst from one
+//! caller, long documents among short queries. Without a guard all are accepted, each waits longer
 //! than its caller does, and the server works at its limit for answers that nobody reads any more.
 //!
-//! The guard runs as many as there are slots, queues a few, and refuses the others at once, while
-//! there is time to go elsewhere. A refusal is final: a refused request was not run.
+//! The guard runs as many requests as there are slots, queues a few, and refuses the others at
+//! once, while there is time to go elsewhere. A refusal is final: a refused request was not run.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -45,7 +45,7 @@
 /// Hash of the calling service, or of the caller from outside.
 pub type CallerKey = u64;
 
-/// Whom a request is counted against.
+/// Team and caller that a request is counted against.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct FlowKey {
     /// The team.
@@ -59,34 +59,34 @@
 pub struct GuardRequest {
     /// Class of the work.
     pub class: WorkClass,
-    /// Whom it is counted against.
+    /// Team and caller that it is counted against.
     pub flow: FlowKey,
     /// When its caller stops waiting, on the clock of `now`.
     pub deadline: Duration,
     /// Whether it must run with nothing else on the server, see [`crate::quarantine`].
     pub alone: bool,
-    /// When its response-time goal ends, on the clock of `now`; none where there is no goal.
+    /// When its response-time goal ends, on the clock of `now`; `None` if it has none.
     pub goal: Option<Duration>,
     /// Rank among the requests that wait, 0 first.
     pub rank: u8,
-    /// Kind of work, for its own estimate of the service time.
+    /// Kind of work; each kind has its own estimate of the service time.
     pub work: WorkKey,
-    /// Longest time for which it may wait for a slot, none for any time. One that would wait longer is
-    /// refused at once, so that its sender can look for a free slot elsewhere.
+    /// Longest time for which it may wait for a slot, `None` for any time. A request that would
+    /// wait longer is refused at once, so that its sender can look for a free slot elsewhere.
     pub most_wait: Option<Duration>,
 }
 
-/// Factor on the work ahead of a request, since flows with less running that come later go before
-/// it. At twice the capacity with deadlines of 2.5 service times, 5.3 % of sends were refused only
-/// after they had been queued at a factor of one, 2.6 % at 1.5 and 0.9 % at two, and the most calls
-/// were served in time at two.
+/// Factor on the work ahead of a request in the fair queue, since requests that come later start
+/// before it where their flows have fewer running. At twice the capacity with deadlines of 2.5
+/// service times, 5.3 % of sends are refused only after they have been queued at a factor of one,
+/// 2.6 % at 1.5 and 0.9 % at two, and at two the most calls are served in time.
 const OVERTAKING_FACTOR: u32 = 2;
 
-/// Where an admitted request stands.
+/// Stage of an admitted request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CallStage {
     Queued,
-    /// Waits for an empty server.
+    /// Waits until the server runs nothing else.
     AwaitsEmptyServer,
     /// Runs since this time.
     Running(Duration),
@@ -98,18 +98,18 @@
     flow: FlowKey,
     stage: CallStage,
     work: WorkKey,
-    /// Last moment at which it is started.
+    /// Latest time at which it may start.
     latest_start: Duration,
     /// Why it is refused if it still waits then.
     late_reason: RefusalReason,
 }
 
-/// The trial that has or wants the server for itself.
+/// Whether a trial has the server for itself, or waits for that.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum TrialState {
     None,
     Waiting(Ticket),
-    /// The server is kept empty beside it until this time.
+    /// Runs; the server is kept empty beside it until this time.
     Running(Ticket, Duration),
 }
 
@@ -120,7 +120,7 @@
     pub running: [u32; CLASS_COUNT],
     /// Requests in the queue, short and long.
     pub queued: [u32; CLASS_COUNT],
-    /// Slots in use now: fewer than the settings give while the server is cold.
+    /// Slots available now: fewer than the settings give while the server is cold.
     pub slots: u32,
     /// Whether new requests are refused because the server drains.
     pub is_draining: bool,
@@ -133,7 +133,7 @@
     }
 }
 
-/// Guards one incarnation of one server.
+/// Admits requests to one incarnation of one server.
 #[derive(Clone, Debug)]
 pub struct AdmissionGuard {
     settings: GuardSettings,
@@ -143,12 +143,12 @@
     urgent: [UrgencyQueue; CLASS_COUNT],
     running: [u32; CLASS_COUNT],
     estimates: [ServiceEstimate; CLASS_COUNT],
-    /// Estimates by kind of work, where requests are ordered by urgency.
+    /// Estimates by kind of work, kept where requests are ordered by urgency.
     work_estimates: HashMap<WorkKey, ServiceEstimate>,
-    /// Slots that short work has lately used at once.
+    /// Peak of the slots that short work has lately used at once.
     short_peak: DecayingPeak,
     trial: TrialState,
-    /// What long work leaves of the instance's link.
+    /// Limit that the instance's link sets to long work.
     link: LinkLimit,
     is_draining: bool,
 }
@@ -210,8 +210,8 @@
         }
     }
 
-    /// Refuses all new requests from now on and hands back the queued ones, not run, so that they
-    /// can be placed elsewhere. Running ones go on.
+    /// Refuses all new requests from now on and returns the queued ones, not run, so that they can
+    /// be placed elsewhere. Running ones go on.
     pub fn drain(&mut self) -> Released {
         self.is_draining = true;
         let mut released = Released::default();
@@ -230,8 +230,8 @@
         released
     }
 
-    /// Creates the refusal for a reason, with a time to come back that is spread over a window, so
-    /// that callers refused in one burst don't return in one.
+    /// Creates the refusal for a reason. The time to come back is drawn from a window, so that
+    /// callers refused in one burst do not return in one.
     pub fn refuse(
         &self,
         reason: RefusalReason,
@@ -248,7 +248,7 @@
         Refusal { reason, retry_after, figures: None }
     }
 
-    /// Creates the refusal of a request at its offer, with what it was decided by.
+    /// Creates the refusal of a request that arrives, with the figures that decided it.
     fn refuse_offer(
         &self,
         request: &GuardRequest,
@@ -260,8 +260,8 @@
         Refusal { figures, ..self.refuse(reason, now, rng) }
     }
 
-    /// Returns whether a request runs as a trial with the server kept empty beside it. Asked when the
-    /// server dies, for [`crate::quarantine::CrashReport::is_trial`].
+    /// Returns whether a request runs as a trial with the server kept empty beside it. To be asked
+    /// when the server dies, for [`crate::quarantine::CrashReport::is_trial`].
     pub fn is_trial(&self, ticket: Ticket) -> bool {
         matches!(self.trial, TrialState::Running(trial, _) if trial == ticket)
     }
@@ -276,8 +276,8 @@
         }
     }
 
-    /// Returns the load to report to other daemons: zero when idle, one with all slots taken and the
-    /// short queue half full.
+    /// Returns the load to report to other daemons, from 0 to 1: zero when idle, one with all slots
+    /// taken and the short queue half full.
     pub fn load(&self, now: Duration) -> f64 {
         let queued = f64::from(self.queued(WorkClass::Short) + self.queued(WorkClass::Long));
         let busy = f64::from(self.running_count()) + queued;
@@ -285,8 +285,8 @@
         (busy / full).min(1.0)
     }
 
-    /// Returns what a decision on a request that could wait is made by. One that may not wait is only
-    /// told whether a slot is free.
+    /// Returns the figures that decide on a request, or `None` if it may not wait, since a free
+    /// slot alone decides then.
     fn figures(&self, request: &GuardRequest, now: Duration) -> Option<AdmitFigures> {
         if request.most_wait == Some(Duration::ZERO) {
             return None;
@@ -302,7 +302,7 @@
         })
     }
 
-    /// Returns why a request cannot be taken, if so.
+    /// Returns why a request cannot be admitted, or `None` if it can.
     fn refusal_reason(&self, request: &GuardRequest, now: Duration) -> Option<RefusalReason> {
         let class = request.class;
         let service = self.service_time(request, now);
@@ -318,7 +318,9 @@
             }
             _ if has_room || request.alone => None,
             _ if self.exceeds_max_wait(request, now) => Some(RefusalReason::Busy),
-            _ if self.settings.order == QueueOrder::Urgent => self.urgent_refusal_reason(request, now),
+            _ if self.settings.order == QueueOrder::Urgent => {
+                self.urgent_refusal_reason(request, now)
+            }
             _ if queue.len() >= limit => Some(self.queue_full_reason(now)),
             _ if !queue.has_share(request.flow, limit) => Some(RefusalReason::ShareExceeded),
             _ if self.expected_wait(request, now) + self.high_estimate(class, now) > left => {
@@ -342,6 +344,7 @@
         request.most_wait.is_some_and(is_over)
     }
 
+    /// Returns the expected service time of a request, from the estimates that the order uses.
     fn service_time(&self, request: &GuardRequest, now: Duration) -> Duration {
         match self.settings.order {
             QueueOrder::Fair => self.estimate(request.class, now),
@@ -357,11 +360,13 @@
         }
     }
 
+    /// Returns the number of queued requests of a class.
     fn queued(&self, class: WorkClass) -> u32 {
         let index = class_index(class);
         self.queues[index].len() + self.urgent[index].len()
     }
 
+    /// Returns the reason of a refusal by a full queue: a cold start while the server warms up.
     fn queue_full_reason(&self, now: Duration) -> RefusalReason {
         match self.warm_up_left(now).is_zero() {
             true => RefusalReason::QueueFull,
@@ -369,8 +374,8 @@
         }
     }
 
-    /// Returns the time a request would wait in the queue: the work ahead of it in the order of
-    /// [`FlowQueue`], over the slots its class can count on.
+    /// Returns the time that a request would wait in the fair queue: the work ahead of it in the
+    /// order of [`FlowQueue`], over the slots that its class can count on.
     fn expected_wait(&self, request: &GuardRequest, now: Duration) -> Duration {
         let class = request.class;
         let ahead = self.queues[class_index(class)].ahead_of(request.flow);
@@ -387,8 +392,8 @@
     }
 
     /// Returns the service time to plan with for a request that would queue. It can still go
-    /// elsewhere, so it is only kept if it will very likely be in time; one that could start at once
-    /// is given its chance if it is likelier than not.
+    /// elsewhere, so it is only kept if it will very likely be in time; one that could start at
+    /// once is admitted if it is likelier in time than not.
     fn high_estimate(&self, class: WorkClass, now: Duration) -> Duration {
         self.estimates[class_index(class)].high_estimate(now)
     }
@@ -397,17 +402,18 @@
         self.running.iter().sum()
     }
 
-    /// Returns the slots in use: all of a warm server, a growing part of a cold one. A cold server
-    /// that gets a full load at once serves all of it too late.
+    /// Returns the slots available: all of a warm server, a growing part of a cold one. A cold
+    /// server that gets a full load at once serves all of it too late.
     fn slots(&self, now: Duration) -> u32 {
         let slots = self.settings.slots.max(1);
         let whole = self.settings.warm_up.as_secs_f64().max(f64::EPSILON);
         let cold = self.warm_up_left(now).as_secs_f64() / whole;
-        // Rounding a number between zero and the slots.
+        // The value is between zero and the slots, so the cast only rounds.
         let reserved = (f64::from(slots) * cold * self.settings.cold_hold).floor() as u32;
         (slots - reserved.min(slots)).max(1)
     }
 
+    /// Returns the time until the server is warm, zero if it is.
     fn warm_up_left(&self, now: Duration) -> Duration {
         match self.started_at {
             Duration::ZERO => Duration::ZERO,
@@ -415,9 +421,10 @@
         }
     }
 
-    /// Returns the slots that long work may hold: its share, or more while short work needs fewer,
-    /// but always one less than there are. The one slot kept lets the first short request after a
-    /// pause run at once, rather than wait out a document.
+    /// Returns the slots that long work may take: its share, or more while short work needs fewer,
+    /// but always one less than there are, and no more than the link carries. The one slot kept
+    /// free lets the first short request after a pause run at once, rather than wait for a document
+    /// to end.
     fn long_limit(&self, now: Duration) -> u32 {
         let slots = self.slots(now);
         let share = self.settings.long_share_of(slots);
@@ -425,17 +432,19 @@
         share.max(slots.saturating_sub(needed)).min(self.link.max_running()).max(1)
     }
 
-    /// Returns whether a request of a class could start at once without passing one that waits.
+    /// Returns whether a request of a class could start at once without overtaking one that waits.
     fn has_room(&self, class: WorkClass, now: Duration) -> bool {
         let waits = self.queued(class) > 0;
         !waits && self.may_start(class, now)
     }
 
+    /// Returns whether a slot is free for a request of a class.
     fn may_start(&self, class: WorkClass, now: Duration) -> bool {
         let within = class == WorkClass::Short || self.running[1] < self.long_limit(now);
         self.trial == TrialState::None && self.running_count() < self.slots(now) && within
     }
 
+    /// Raises the peak of short work when a request of it arrives.
     fn record_short_demand(&mut self, class: WorkClass, now: Duration) {
         if class == WorkClass::Short {
             let demand = self.running[0] + self.queued(WorkClass::Short) + 1;
--- a/components/decide/src/admitting/estimate.rs
+++ b/components/decide/src/admitting/estimate.rs
@@ -1,19 +1,19 @@
-//! What the guard has learned of its load.
+//! Running estimates of the guard: service times and the peak of short work.
 
 use std::time::Duration;
 
-/// Weight of a new sample, as a divisor. Eight follow a change within about a second at the traffic
-/// of one server.
+/// Divisor of the weight of a new sample. With eight, an estimate follows a change within about a
+/// second at the traffic of one server.
 const SAMPLE_WEIGHT: u32 = 8;
-/// Deviations added to the mean for a request that would queue. Covers evenly spread service times
-/// whole; exponential ones in eleven of twelve cases.
+/// Mean deviations added to the mean for a request that would queue. Two cover evenly spread
+/// service times whole, and exponential ones in eleven of twelve cases.
 const HIGH_ESTIMATE_DEVIATIONS: u32 = 2;
-/// Time without a sample in which an estimate halves. Without it an estimate above all deadlines
-/// would refuse everything, get no sample and stay for good.
+/// Time without a sample in which an estimate halves. Otherwise an estimate above all deadlines
+/// would refuse everything, get no sample and never fall.
 const ESTIMATE_HALVING: Duration = Duration::from_secs(1);
-/// Halvings after which an estimate is zero for all purposes.
+/// Halvings after which an estimate counts as zero for all purposes; it bounds the divisor.
 const MAX_HALVINGS: u32 = 20;
-/// Time in which a peak falls to half. Longer than the gaps of a service with a call a second.
+/// Time in which a peak falls to half: longer than the gaps of a service with a call a second.
 const PEAK_HALVING: Duration = Duration::from_secs(2);
 
 /// Running mean of the time that one kind of work takes.
@@ -35,7 +35,8 @@
                 self.mean = (self.mean * (SAMPLE_WEIGHT - 1) + took) / SAMPLE_WEIGHT;
                 self.deviation = (self.deviation * (SAMPLE_WEIGHT - 1) + distance) / SAMPLE_WEIGHT;
             }
-            // Half, as TCP takes it for its first round trip.
+            // The deviation of a first sample is taken as half of it, as TCP does for its first
+            // round trip.
             false => (self.mean, self.deviation) = (took, took / 2),
         }
         self.is_known = true;
@@ -52,6 +53,7 @@
         (self.mean + self.deviation * HIGH_ESTIMATE_DEVIATIONS) / self.decay_divisor(now)
     }
 
+    /// Returns the divisor for the time without a sample, doubled with each halving time.
     fn decay_divisor(&self, now: Duration) -> u32 {
         let idle = now.saturating_sub(self.last_sample).as_millis();
         let halvings = u32::try_from(idle / ESTIMATE_HALVING.as_millis()).unwrap_or(u32::MAX);
--- a/components/decide/src/admitting/outcome.rs
+++ b/components/decide/src/admitting/outcome.rs
@@ -1,4 +1,4 @@
-//! What the guard answers.
+//! Decisions of the guard.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
     /// It could not finish in time.
     #[display("deadline-too-near")]
     DeadlineTooNear,
-    /// Its team or caller holds its share of the queue.
+    /// Its team or caller has used up its share of the queue.
     #[display("share-exceeded")]
     ShareExceeded,
     /// No slot is free, and it may not wait.
@@ -30,7 +30,7 @@
     /// The queue is full because the server has just started.
     #[display("cold-start")]
     ColdStart,
-    /// It must run alone and another trial has the server, or the server did not empty in time.
+    /// It must run alone, and another trial has the server or the server did not empty in time.
     #[display("trial-under-way")]
     TrialUnderWay,
 }
@@ -38,15 +38,15 @@
 /// A final refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason.
     pub reason: RefusalReason,
-    /// When the caller may come back, spread between callers.
+    /// Time after which the caller may come back, spread between callers.
     pub retry_after: Duration,
-    /// What it was decided by, where it was decided at the arrival.
+    /// Figures that decided it, if it was decided at the arrival.
     pub figures: Option<AdmitFigures>,
 }
 
-/// What the guard knew when it decided on a request, for whoever asks why.
+/// What the guard knew when it decided on a request, for diagnosis.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 #[display(
     "work {} wait {} left {} goal {} running {running}/{slots} queued {queued}",
@@ -61,7 +61,7 @@
     pub left: Duration,
     /// Time to the response-time goal, where there is one.
     pub goal: Option<Duration>,
-    /// Requests that ran.
+    /// Running requests.
     pub running: u32,
     /// Slots of the server.
     pub slots: u32,
@@ -69,12 +69,12 @@
     pub queued: u32,
 }
 
-/// What becomes of an offered request.
+/// Decision on an offered request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// Run it now.
     Run(Ticket),
-    /// Hold it until it appears in a [`Released`].
+    /// Keep it waiting until it appears in a [`Released`].
     Queued(Ticket),
     /// Answer with the refusal.
     Refused(Refusal),
--- a/components/decide/src/admitting/queue.rs
+++ b/components/decide/src/admitting/queue.rs
@@ -10,7 +10,7 @@
     key: FlowKey,
     tickets: VecDeque<Ticket>,
     running: u32,
-    /// Turn in which it was last served.
+    /// Value of [`FlowQueue::serve_count`] when it was last served.
     last_served: u64,
 }
 
@@ -19,11 +19,12 @@
 /// hundred requests and one with a single request have the same right to the next slot, and so have
 /// a team with a hundred callers and one with a single caller.
 ///
-/// A caller is only held while it has a request here, so there are never more than slots and queue
+/// A caller is only kept while it has a request here, so there are never more than slots and queue
 /// places together (some fifty), and plain scans are the fastest.
 #[derive(Clone, Debug, Default)]
 pub(super) struct FlowQueue {
     flows: Vec<ActiveFlow>,
+    /// Requests taken out to run so far.
     serve_count: u64,
     len: u32,
 }
@@ -36,8 +37,8 @@
     /// Returns whether a caller may queue another request when `limit` are allowed in all.
     ///
     /// A team may queue as many as there are places free, and a caller as many as its team then has
-    /// left. So one hot caller gets a third of the queue and one hot team half, and for others there
-    /// is always room, without knowing beforehand how many there will be.
+    /// left. So one busy caller gets a third of the queue and one busy team half, and for others
+    /// there is always room, without knowing beforehand how many there will be.
     pub(super) fn has_share(&self, key: FlowKey, limit: u32) -> bool {
         let team_room = limit.saturating_sub(self.len);
         let caller_room = team_room.saturating_sub(self.team_queued(key.team));
@@ -49,7 +50,7 @@
         self.len += 1;
     }
 
-    /// Takes out the ticket whose turn it is.
+    /// Removes and returns the ticket that runs next.
     pub(super) fn pop(&mut self) -> Option<Ticket> {
         let waiting = self.flows.iter().enumerate().filter(|(_, flow)| !flow.tickets.is_empty());
         let (index, _) = waiting.min_by_key(|(_, flow)| {
@@ -63,7 +64,7 @@
         flow.tickets.pop_front()
     }
 
-    /// Takes out a given ticket of a caller.
+    /// Removes a given ticket of a caller.
     pub(super) fn remove(&mut self, key: FlowKey, ticket: Ticket) {
         let tickets = &mut self.flow_mut(key).tickets;
         let place = tickets.iter().position(|queued| *queued == ticket);
@@ -73,18 +74,19 @@
         self.drop_idle_flows();
     }
 
-    /// Returns all tickets, in no order that matters.
+    /// Returns all tickets, in no particular order.
     pub(super) fn tickets(&self) -> impl Iterator<Item = Ticket> {
         self.flows.iter().flat_map(|flow| flow.tickets.iter().copied())
     }
 
-    /// Returns how many of the queued would start before a new ticket of a caller if all take turns:
-    /// of each other team as many as this one has and one more, and the same among its callers.
+    /// Returns how many queued requests would start before a new one of a caller if all are served
+    /// in turn: of each other team as many as this one has and one more, and the same among its
+    /// callers.
     pub(super) fn ahead_of(&self, key: FlowKey) -> u32 {
         let (team_queued, own_queued) = (self.team_queued(key.team), self.flow_queued(key));
         let siblings = self.flows.iter().filter(|flow| flow.key.team == key.team);
         let in_team: u32 = siblings.map(|flow| queued_count(flow).min(own_queued + 1)).sum();
-        // Each team's queued, capped, is counted at its first caller only.
+        // The queued requests of a team, capped, are counted at its first caller only.
         let is_first =
             |index: usize, team| self.flows[..index].iter().all(|earlier| earlier.key.team != team);
         let others =
@@ -96,10 +98,12 @@
         in_team + in_others
     }
 
+    /// Counts a request of a caller as running.
     pub(super) fn count_start(&mut self, key: FlowKey) {
         self.flow_mut(key).running += 1;
     }
 
+    /// Counts out a running request of a caller.
     pub(super) fn count_end(&mut self, key: FlowKey) {
         self.flow_mut(key).running -= 1;
         self.drop_idle_flows();
@@ -139,7 +143,7 @@
     }
 }
 
-/// Returns the queued requests of a caller, which the queue's limit bounds.
+/// Returns the number of queued requests of a caller, which the queue's limit bounds.
 fn queued_count(flow: &ActiveFlow) -> u32 {
     flow.tickets.len() as u32
 }
--- a/components/decide/src/admitting/release.rs
+++ b/components/decide/src/admitting/release.rs
@@ -1,4 +1,4 @@
-//! What follows when an admitted request ends, leaves or waits too long.
+//! What the guard does when an admitted request ends, leaves or waits too long.
 
 use std::time::Duration;
 
@@ -12,8 +12,8 @@
 const MAX_WORK_KINDS: usize = 256;
 
 impl AdmissionGuard {
-    /// Records that a running request ended, and gives those that leave the queue for it. A
-    /// ticket that has ended before changes nothing.
+    /// Records that a running request ended, and returns the requests that leave the queue for it.
+    /// A ticket that has ended before changes nothing.
     pub fn finish(&mut self, ticket: Ticket, now: Duration) -> Released {
         if let Some(call) = self.calls.get(ticket)
             && let CallStage::Running(since) = call.stage
@@ -29,25 +29,27 @@
         self.cancel(ticket, now)
     }
 
+    /// Adds the time that a request took to the estimate of its kind of work.
     fn record_work(&mut self, work: WorkKey, took: Duration, now: Duration) {
         if self.settings.order == QueueOrder::Urgent {
             if self.work_estimates.len() >= MAX_WORK_KINDS {
-                // Routes that were withdrawn leave theirs behind; the others are learnt in seconds.
+                // Estimates of withdrawn routes would stay for good; the others are learned again
+                // in seconds.
                 self.work_estimates.clear();
             }
             self.work_estimates.entry(work).or_default().add(took, now);
         }
     }
 
-    /// Records that the caller of a request left, whether it ran or waited. Its time is not
-    /// counted as a service time.
+    /// Records that the caller of a request left, whether it ran or waited. Its time is not counted
+    /// as a service time.
     pub fn cancel(&mut self, ticket: Ticket, now: Duration) -> Released {
         self.remove(ticket);
         self.expire(now)
     }
 
-    /// Returns the queued requests that can start now and those that no longer could finish in time.
-    /// To be called at [`AdmissionGuard::next_expiry`].
+    /// Returns the queued requests that can start now and those that could no longer finish in
+    /// time. To be called at [`AdmissionGuard::next_expiry`].
     pub fn expire(&mut self, now: Duration) -> Released {
         let mut released = Released::default();
         self.end_trial_exclusivity(now);
@@ -59,8 +61,8 @@
         released
     }
 
-    /// Records how many large answers wait for the instance's link, and gives those that leave
-    /// the queue. To be called when the number changes.
+    /// Records how many large answers wait for the instance's link, and returns the requests that
+    /// leave the queue for it. To be called when the number changes.
     pub fn set_held_back(&mut self, answers: usize, now: Duration) -> Released {
         if !self.settings.bounds_by_link {
             return Released::default();
@@ -73,8 +75,8 @@
         }
     }
 
-    /// Returns the time at which a queued request will have waited too long, or a trial's hold on the
-    /// server ends, if there is any.
+    /// Returns the time at which a queued request will have waited too long, or a trial's exclusive
+    /// time ends, whichever is first.
     pub fn next_expiry(&self) -> Option<Duration> {
         let queued = self.waiting().filter_map(|ticket| self.calls.get(ticket));
         let latest = queued.map(|call| call.latest_start);
@@ -84,12 +86,14 @@
         }
     }
 
+    /// Admits a request that starts at once.
     pub(super) fn admit_running(&mut self, ticket: Ticket, now: Duration) -> Admission {
         self.set_running(ticket, now);
         Admission::Run(ticket)
     }
 
-    /// Lets a suspect run alone: at once on an empty server, else when it has emptied.
+    /// Admits a suspect, to run alone: at once on an empty server, else when the server has
+    /// emptied.
     pub(super) fn admit_trial(&mut self, ticket: Ticket, now: Duration) -> Admission {
         self.trial = TrialState::Waiting(ticket);
         if self.running_count() == 0 {
@@ -143,6 +147,7 @@
         }
     }
 
+    /// Ends a trial's exclusive time, if it is over by `now`.
     fn end_trial_exclusivity(&mut self, now: Duration) {
         if matches!(self.trial, TrialState::Running(_, until) if until <= now) {
             self.trial = TrialState::None;
@@ -158,8 +163,8 @@
         self.queues.iter().flat_map(|queue| queue.tickets()).chain(urgent).chain(trial)
     }
 
-    /// Refuses those that could no longer finish in time. They would take a slot for an answer that
-    /// comes too late, and make those behind them late too.
+    /// Refuses the waiting requests that could no longer finish in time. They would take a slot for
+    /// an answer that comes too late, and make those behind them late too.
     fn refuse_late(&mut self, now: Duration, released: &mut Released) {
         let late_reason = |ticket: Ticket| {
             let call = self.calls.get(ticket).filter(|call| call.latest_start <= now)?;
@@ -176,8 +181,9 @@
         }
     }
 
-    /// Takes out the queued request that starts next, if one may. A trial that waits goes first and
-    /// holds the others back, or a busy server would never empty for it.
+    /// Removes and returns the queued request that starts next, if one may start. A trial that
+    /// waits goes first and stops the others from starting, or a busy server would never empty for
+    /// it.
     fn take_next_startable(&mut self, now: Duration) -> Option<Ticket> {
         if let TrialState::Waiting(ticket) = self.trial {
             return (self.running_count() == 0).then_some(ticket);
--- a/components/decide/src/admitting/settings.rs
+++ b/components/decide/src/admitting/settings.rs
@@ -7,11 +7,11 @@
 /// Which of the waiting requests starts next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum QueueOrder {
-    /// Teams in turn, and within a team its callers. Made for work of a few milliseconds, where a
-    /// queue is gone before an order by goals could tell.
+    /// Teams in turn, and within a team its callers. For work of a few milliseconds, where a queue
+    /// has emptied before an order by goals could make a difference.
     #[default]
     Fair,
-    /// By rank, then by what can still meet its response-time goal.
+    /// By rank, then by whether the response-time goal can still be met.
     Urgent,
 }
 
@@ -25,24 +25,25 @@
     /// Short requests queued at most. Default 24: two rounds of all slots, so that a wait stays
     /// about twice the service time.
     pub short_queue: u32,
-    /// Long requests queued at most. Default 12: they wait in seconds, which few callers do.
+    /// Long requests queued at most. Default 12: they wait for seconds, which few callers do.
     pub long_queue: u32,
-    /// Fraction of slots that long work may always use, and is given in contention. Default a
-    /// third: short work at two thirds of the slots still has room for its bursts.
+    /// Fraction of slots that long work may always use, and gets in contention. Default a third:
+    /// short work that uses two thirds of the slots still has room for its bursts.
     pub long_share: f64,
     /// Time in which a server that has just started gets all its slots. Default 10 s.
     pub warm_up: Duration,
-    /// Fraction of slots held back at its start. Default 0.5: six of twelve run.
+    /// Fraction of slots withheld at its start. Default 0.5: six of twelve run.
     pub cold_hold: f64,
-    /// Whether a more urgent request takes the place of the least urgent one in a full queue. Default yes.
+    /// Whether a more urgent request takes the place of the least urgent one in a full queue.
+    /// Default yes.
     pub makes_room: bool,
     /// Whether long work is bounded by what the link carries. Default yes.
     pub bounds_by_link: bool,
     /// Longest wait of a trial for an empty server. Default 200 ms, since the slots that empty
     /// meanwhile stay unused.
     pub trial_max_wait: Duration,
-    /// Longest time for which the server is kept empty beside a trial. Default 500 ms; a trial
-    /// that lives longer goes on in company.
+    /// Longest time for which the server is kept empty beside a trial. Default 500 ms; a trial that
+    /// runs longer goes on with others beside it.
     pub trial_exclusive_time: Duration,
     /// Shortest time after which a refused caller may return. Default 1 s, the unit of the header.
     pub retry_least: Duration,
@@ -82,7 +83,7 @@
 
     /// Returns the share of long work among a number of slots, at least one.
     pub fn long_share_of(&self, slots: u32) -> u32 {
-        // Rounding a number between zero and the slots.
+        // The value is between zero and the slots, so the cast only rounds.
         ((f64::from(slots) * self.long_share).floor() as u32).max(1)
     }
 }
--- a/components/decide/src/admitting/upload.rs
+++ b/components/decide/src/admitting/upload.rs
@@ -1,4 +1,4 @@
-//! Uploads that have yet to come over the instance's link.
+//! Admission of uploads that have yet to come over the instance's link.
 
 use std::time::Duration;
 
@@ -9,21 +9,22 @@
 /// What the instance's link has to carry before an upload.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkAhead {
-    /// Time until the upload's turn.
+    /// Time until the upload may be sent.
     pub wait: Duration,
-    /// Time that an upload takes once it has its turn.
+    /// Time that the upload takes from then on.
     pub takes: Duration,
-    /// Uploads on their link_time here, which have no slot yet.
+    /// Uploads on their way here that have no slot yet.
     pub coming: u32,
 }
 
 impl AdmissionGuard {
-    /// Decides whether an upload is worth taking off the link. It is offered once more when it is here.
+    /// Decides whether an upload is worth receiving over the link. Once received, it is offered to
+    /// the guard like any other request.
     ///
-    /// Made for a link that carries fewer uploads than its server could run. Taken in whole before
-    /// anything is decided, those that are refused use up the link as well, the others come too late, and
-    /// short calls stand behind all of them while slots are free. An upload that cannot be here in time
-    /// is refused while it can still go to another server.
+    /// A link can carry fewer uploads than its server could run. If uploads were received whole
+    /// before anything is decided, those that are refused would use up the link as well, the others
+    /// would come too late, and short calls would queue behind all of them while slots are free. An
+    /// upload that cannot be here in time is refused while it can still go to another server.
     ///
     /// # Errors
     ///
@@ -41,6 +42,7 @@
         }
     }
 
+    /// Returns why an upload is not worth receiving, or `None` if it is.
     fn upload_refusal_reason(
         &self,
         request: &GuardRequest,
--- a/components/decide/src/admitting/urgency.rs
+++ b/components/decide/src/admitting/urgency.rs
@@ -1,10 +1,10 @@
 //! A queue by urgency, for work that is long beside a round trip.
 //!
-//! Made for a server whose requests take a tenth of a second and more and differ in what they are
-//! worth: calls that other requests wait for, confirmations, look-ups. The next to start is of the
-//! most urgent rank; within it those that can still meet their response-time goal go before those
-//! that cannot, and of each the one whose goal ends first. First come, first served would make all
-//! of them late once a queue has formed; with this order a queue makes only some late.
+//! The requests of a server that take a tenth of a second and more differ in what they are worth:
+//! calls that other requests wait for, confirmations, look-ups. The next to start is of the most
+//! urgent rank; within it those that can still meet their response-time goal go before those that
+//! cannot, and of each the one whose goal ends first. First come, first served would make all of
+//! them late once a queue has formed; with this order a queue makes only some late.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
     pub due: Duration,
 }
 
-/// Key that queued requests are ordered by.
+/// Key that orders queued requests: rank, whether the goal is out of reach, its end, arrival.
 type OrderKey = (u8, bool, Duration, u64);
 
 #[derive(Clone, Copy, Debug)]
@@ -41,7 +41,7 @@
     (urgency.rank, now + work > urgency.due, urgency.due, sequence)
 }
 
-/// The queue. It holds some dozens, so that plain scans are the fastest.
+/// The queue. It holds some dozens of requests, so plain scans are the fastest.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UrgencyQueue {
     calls: Vec<QueuedCall>,
@@ -59,13 +59,14 @@
         self.calls.push(QueuedCall { ticket, urgency, work, sequence: self.sequence });
     }
 
+    /// Removes and returns the ticket that starts next.
     pub(super) fn pop(&mut self, now: Duration) -> Option<Ticket> {
         let next = self.calls.iter().enumerate().min_by_key(|(_, call)| call.key(now));
         let index = next.map(|(index, _)| index)?;
         Some(self.calls.swap_remove(index).ticket)
     }
 
-    /// Takes out the least urgent request, where a new one is more urgent.
+    /// Removes and returns the least urgent request, if a new one is more urgent.
     pub(super) fn pop_less_urgent(
         &mut self,
         urgency: Urgency,
@@ -86,7 +87,7 @@
         self.calls.iter().map(|call| call.ticket)
     }
 
-    /// Returns the work of all that would start before a new request.
+    /// Returns the work of all requests that would start before a new one.
     pub(super) fn work_ahead(&self, urgency: Urgency, work: Duration, now: Duration) -> Duration {
         let own = order_key(urgency, work, self.sequence + 1, now);
         self.calls.iter().filter(|call| call.key(now) < own).map(|call| call.work).sum()
--- a/components/decide/src/admitting/urgent.rs
+++ b/components/decide/src/admitting/urgent.rs
@@ -11,15 +11,15 @@
 
 /// Factor on the work ahead in the order of urgency, for more urgent work that comes later. Calls
 /// that other requests wait for take up to two fifths of a server in a burst; with the work ahead
-/// alone, one confirmation in ten was refused only after it had waited out its time.
+/// alone, one confirmation in ten is refused only after it has waited out its time.
 const LATER_ARRIVALS_FACTOR: f64 = 1.5;
 
 impl AdmissionGuard {
-    /// Hands back the least urgent of the waiting requests, not run, where the queue is full and a
-    /// more urgent one comes. To be called before [`AdmissionGuard::offer`].
+    /// Removes and returns the least urgent of the waiting requests, not run, if the queue is full
+    /// and a more urgent one comes. To be called before [`AdmissionGuard::offer`].
     ///
-    /// Made for a queue that a burst of long work has filled. A call that another request waits for
-    /// would be refused, and with it the work that its caller has done already.
+    /// A burst of long work can fill the queue. A call that another request waits for would then be
+    /// refused, and the work that its caller has done already would be lost with it.
     pub fn make_room(&mut self, request: &GuardRequest, now: Duration) -> Released {
         let mut released = Released::default();
         let class = request.class;
@@ -37,11 +37,12 @@
         released
     }
 
-    /// Returns the last moment at which a waiting request is started, and why it is refused then: while
-    /// the usual service time is left before the deadline, and in the order of urgency no later than
-    /// half a goal after the goal. One that waits on behind those that can be in time is refused in the
-    /// end, and had better be told while it can come back. One that may wait for a moment only is handed
-    /// back after twice that, if more urgent ones have come meanwhile.
+    /// Returns the latest time at which a waiting request may start, and why it is refused after
+    /// it. It must start while the usual service time is left before the deadline, and in the order
+    /// of urgency no later than half a goal after the goal: behind requests that can be in time it
+    /// would be refused in the end, and had better learn this while it can come back. A request
+    /// that may wait for a short time only is handed back after twice that time, if more urgent
+    /// ones have come meanwhile.
     pub(super) fn latest_start(
         &self,
         request: &GuardRequest,
@@ -61,12 +62,12 @@
         }
     }
 
-    /// Returns why a request cannot wait in the order of urgency, if so.
+    /// Returns why a request cannot wait in the order of urgency, or `None` if it can.
     ///
-    /// Made for a service that gets more than it can do for seconds. Whoever is queued beyond the
-    /// goal is answered late, and so is everyone behind: the servers work at their limit and nobody
-    /// is served in time. Refused at once, it can come back when the burst is over, and those that
-    /// are kept are in time.
+    /// A service can get more than it can do for seconds. Whoever is queued beyond the goal is
+    /// answered late, and so is everyone behind: the servers work at their limit and nobody is
+    /// served in time. Refused at once, a request can come back when the burst is over, and those
+    /// that are kept are in time.
     pub(super) fn urgent_refusal_reason(
         &self,
         request: &GuardRequest,
@@ -75,7 +76,7 @@
         let class = request.class;
         let wait = self.urgent_wait(request, now);
         let service = self.service_time(request, now);
-        // Work that comes later and is more urgent goes before it.
+        // More urgent work that comes later goes before it.
         let wait = wait.mul_f64(LATER_ARRIVALS_FACTOR);
         match request {
             _ if self.queued(class) >= self.settings.queue_limit(class) => {
@@ -87,8 +88,8 @@
         }
     }
 
-    /// Returns the time that a request would wait for a slot now, in the order of urgency: what is
-    /// left of the work that runs and the work that goes before, over the slots of its class.
+    /// Returns the time that a request would wait for a slot now, in the order of urgency: the time
+    /// until a slot is free, and the queued work that goes before it over the slots of its class.
     pub(super) fn urgent_wait(&self, request: &GuardRequest, now: Duration) -> Duration {
         let class = request.class;
         let service = self.service_time(request, now);
@@ -101,18 +102,18 @@
         self.time_to_first_slot(now) + ahead / slots.max(1)
     }
 
-    /// Returns the time until the first of the running requests is expected to end. What is left of
-    /// `n` requests is spread evenly up to twice its mean, and the least of `n` such times is at a
-    /// part of `n + 1` of that. Half the mean, which is the time until half of them have ended,
-    /// refused one call in eighteen in a burst that could have had the next slot.
+    /// Returns the expected time until the first of the running requests ends. What is left of `n`
+    /// requests is taken as spread evenly up to twice its mean, and the least of `n` such times as
+    /// `1 / (n + 1)` of that. Half the mean, which is the time until half of them have ended, would
+    /// refuse one call in eighteen in a burst that could have had the next slot.
     fn time_to_first_slot(&self, now: Duration) -> Duration {
         let running = self.running_count();
         let left: Duration = self.calls.values().map(|call| self.remaining_work(call, now)).sum();
         left * 2 / (running * (running + 1)).max(1)
     }
 
-    /// Returns how long a request that may queue would wait for a slot, for whoever chooses among
-    /// servers. Zero while a slot is free.
+    /// Returns how long a request that may queue would wait for a slot, for daemons that choose
+    /// among servers. Zero while a slot is free.
     pub fn wait_hint(&self, now: Duration) -> Duration {
         if self.running_count() < self.slots(now) {
             return Duration::ZERO;
@@ -126,11 +127,13 @@
         self.time_to_first_slot(now) + queued / self.slots(now).max(1)
     }
 
+    /// Returns the expected time until a running request ends, zero for one that waits.
     fn remaining_work(&self, call: &GuardedCall, now: Duration) -> Duration {
         match call.stage {
             CallStage::Running(since) => {
                 let usual = self.work_time(call.work, call.class, now);
-                // One that has outlasted its estimate has as much before it as one on average.
+                // A request that has outlasted its estimate has as much time before it as one on
+                // average.
                 let left = usual.saturating_sub(now.saturating_sub(since));
                 left.max(usual / 4)
             }
@@ -139,8 +142,9 @@
     }
 }
 
-/// Returns whether a wait, with `rest` after it, makes a request miss its goal by much. A goal that has
-/// passed already says nothing about what can still be had.
+/// Returns whether a request misses its goal after a wait followed by `rest`, and mostly because of
+/// the wait: it takes more than half the time to the goal. A goal that has passed already says
+/// nothing about what can still be reached.
 pub(super) fn misses_goal(
     request: &GuardRequest,
     wait: Duration,
--- a/components/decide/src/deadline.rs
+++ b/components/decide/src/deadline.rs
@@ -69,8 +69,8 @@
         self.remaining.saturating_sub(elapsed).saturating_sub(RETURN_MARGIN)
     }
 
-    /// Returns the context for the next hop, `elapsed` after arrival, as retry `own_retries` of this
-    /// layer (zero for the first attempt).
+    /// Returns the context for the next hop, `elapsed` after arrival, as retry `own_retries` of
+    /// this layer (zero for the first attempt).
     ///
     /// # Errors
     ///
--- a/components/decide/src/fetch_gate.rs
+++ b/components/decide/src/fetch_gate.rs
@@ -78,8 +78,8 @@
         self.active
     }
 
-    /// Returns the wait until the next turn that is not taken. Turns are given out at nine tenths of
-    /// the rate at which fetches end, since at the full rate chance alone makes many return in
+    /// Returns the wait until the next turn that is not taken. Turns are given out at nine tenths
+    /// of the rate at which fetches end, since at the full rate chance alone makes many return in
     /// vain. The jitter of one fetch keeps the returns from falling on the ends of those before.
     fn next_return_wait(&mut self, now: Duration, rng: &mut (impl Rng + ?Sized)) -> Duration {
         let step = self.mean * 10 / (9 * self.settings.limit.max(1));
--- a/components/decide/src/idling.rs
+++ b/components/decide/src/idling.rs
@@ -1,20 +1,21 @@
 //! How long a connection may have been idle for a request to be sent on it.
 //!
-//! Made for servers that forget idle connections without a word, and sooner than they say. Whatever is
-//! sent next is reset. A request that may repeat is then sent again and costs a round trip; one that may
-//! run once only is lost, since nobody can tell a reset before its run from one after it.
+//! Made for servers that forget idle connections without a word, and sooner than they say. Whatever
+//! is sent next is reset. A request that may repeat is then sent again and costs a round trip; one
+//! that may run once only is lost, since nobody can tell a reset before its run from one after it.
 
 use std::time::Duration;
 
-/// Longest idle time. Servers commonly close theirs after 5 s; a request sent at that very moment would
-/// be lost with an outcome that nobody knows.
+/// Longest idle time. Servers commonly close theirs after 5 s; a request sent at that very moment
+/// would be lost with an outcome that nobody knows.
 pub const IDLE_LIMIT: Duration = Duration::from_secs(4);
-/// Longest idle time for a request that may run once only. A busy server's connections wait for some
-/// tens of milliseconds; one that has waited for longer is opened anew, which costs a millisecond.
+/// Longest idle time for a request that may run once only. A busy server's connections wait for
+/// some tens of milliseconds; one that has waited for longer is opened anew, which costs a
+/// millisecond.
 const RUN_ONCE_IDLE_LIMIT: Duration = Duration::from_millis(250);
-/// Idle time from which a reset is put down to it. On a connection that was in use just now it is the
-/// server's choice or its death, and says nothing of idle ones: with them counted, a server that lost
-/// answers got a new connection for nearly each request.
+/// Idle time from which a reset is put down to it. On a connection that was in use just now it is
+/// the server's choice or its death, and says nothing of idle ones: with them counted, a server
+/// that lost answers got a new connection for nearly each request.
 pub const STALE_LEAST: Duration = Duration::from_millis(100);
 /// Time in which a limit that was lowered doubles.
 const LIMIT_DOUBLING_TIME: Duration = Duration::from_secs(5);
@@ -31,7 +32,8 @@
     pub fn limit(&self, is_repeatable: bool, now: Duration) -> Duration {
         let usual = if is_repeatable { IDLE_LIMIT } else { RUN_ONCE_IDLE_LIMIT };
         let lowered = self.lowered.map(|(limit, at)| {
-            let doublings = now.saturating_sub(at).as_secs_f64() / LIMIT_DOUBLING_TIME.as_secs_f64();
+            let doublings =
+                now.saturating_sub(at).as_secs_f64() / LIMIT_DOUBLING_TIME.as_secs_f64();
             // Far beyond the usual limit after a minute; bounded for the sake of the factor.
             limit.mul_f64(doublings.min(20.0).exp2())
         });
--- a/components/decide/src/lib.rs
+++ b/components/decide/src/lib.rs
@@ -1,8 +1,9 @@
-//! Decisions under load, without I/O or clock.
+//! Decisions of a proxy under load: admission, queueing, refusal, placement, retries and
+//! quarantine, free of I/O and of a clock.
 //!
-//! Each module holds one decision of the request path. Time is passed in as `now`, a [`Duration`]
-//! since a start that the caller chooses once per process, and randomness as a
-//! [`rand::Rng`], so that a test can run any load in no time and twice in the same way.
+//! Each module makes one decision on the path of a request. Time comes in as `now`, a [`Duration`]
+//! since a start that the caller chooses once per process, and randomness as a [`rand::Rng`], so
+//! that a test runs any load without waiting and repeats it exactly.
 //!
 //! [`Duration`]: std::time::Duration
 
@@ -21,13 +22,14 @@
 
 pub use sk_model::WorkClass;
 
-/// Hash of what a request's service time depends on: its route's figures, not its path.
+/// Hash of a kind of work: of the route settings that a request's service time depends on, not of
+/// its path.
 pub type WorkKey = u64;
 
-/// Number of work classes, for tables with one cell a class.
+/// Number of work classes: the length of tables with one entry per class.
 pub(crate) const CLASS_COUNT: usize = 2;
 
-/// Returns the cell of a class in such a table.
+/// Returns the index of a class in a table of [`CLASS_COUNT`] entries.
 pub(crate) fn class_index(class: WorkClass) -> usize {
     match class {
         WorkClass::Short => 0,
--- a/components/decide/src/placing.rs
+++ b/components/decide/src/placing.rs
@@ -1,12 +1,14 @@
 //! Choosing an endpoint for a request.
 //!
-//! Made for a service whose servers differ from minute to minute: one is slow, one has just
-//! started, one is gone and not yet known to be. Two endpoints are drawn by share and the one with
-//! fewer requests of ours in flight per share is taken. Round robin would send the slow one as much
-//! as the others; always taking the least loaded would send all daemons to the same one at once.
+//! The servers of a service differ from minute to minute: one is slow, one has just started, one is
+//! gone and not yet known to be gone. In the default order two endpoints are drawn at random, in
+//! proportion to the slots that can be counted on at each, and the request goes to the one with
+//! fewer of this daemon's requests in flight per slot. Round robin would send a slow server as many
+//! requests as the others; always taking the least loaded would send the requests of all daemons to
+//! the same server at once.
 //!
-//! A daemon sees only its own requests, a few per second and endpoint. What it sees decides; what
-//! servers say of themselves (hints) may only lower a share, for a short time.
+//! A daemon sees only its own requests, a few per second and endpoint. Its own observations decide.
+//! What servers report of their load (hints) can only lower the slots counted on, for a short time.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -24,14 +26,15 @@
 pub use crate::placing::settings::{PlacementOrder, PlacementSettings, PlacementWeights};
 
 mod call;
-mod two_choices;
 mod gauge;
 mod mean;
 mod outlier;
 mod settings;
 mod soonest;
+mod two_choices;
 
-/// Longest wait that is believed. What is said longer ago than this describes another load.
+/// Upper bound of the wait for a slot that a guard reports. A longer one would still count when the
+/// load that it describes has changed.
 const MAX_REPORTED_WAIT: Duration = Duration::from_secs(1);
 
 /// Identifies an endpoint among those of its service.
@@ -55,18 +58,18 @@
     pub const ALL: [Self; 3] = [Self::SameCentre, Self::SameRegion, Self::OtherRegion];
 }
 
-/// An endpoint as membership knows it.
+/// An endpoint as the membership lists it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointRecord {
-    /// Which endpoint.
+    /// Identifies the endpoint.
     pub id: EndpointId,
-    /// Which process at it.
+    /// Identifies the process at the endpoint.
     pub incarnation: Incarnation,
     /// Requests it runs at once.
     pub slots: u32,
-    /// How far it is.
+    /// Distance from this daemon.
     pub distance: EndpointDistance,
-    /// How long it has been running, when it was announced.
+    /// Time that the process had been running when it was announced.
     pub age: Duration,
 }
 
@@ -75,19 +78,21 @@
 pub struct PlaceRequest<'a> {
     /// Class of its work.
     pub class: WorkClass,
-    /// Kind of its work, since the times of two kinds are not comparable.
+    /// Kind of its work. Service times are kept by kind, since those of two kinds are not
+    /// comparable.
     pub work: WorkKey,
-    /// Bytes that it and its answer are expected to take.
+    /// Expected size of the request and its answer together, in bytes.
     pub bytes: u64,
     /// Endpoints already tried.
     pub exclude: &'a [EndpointId],
-    /// Whether it may go to an endpoint that is set aside, as its probe. True for requests that
-    /// can be tried again elsewhere, false for those that run at most once.
+    /// Whether it may go to an ejected endpoint, as its probe. True for requests that can be tried
+    /// again elsewhere, false for those that run at most once.
     pub may_probe: bool,
-    /// Whether it may only go where a slot is likely free, or in the own data centre will be soon.
-    /// Endpoints that said lately that they have none are then left out.
+    /// Whether it may only go to an endpoint where a slot is likely free or, in this daemon's own
+    /// data centre, expected to be free soon. Endpoints that have lately reported a longer wait are
+    /// left out.
     pub wants_slot: bool,
-    /// Time left to its response-time goal, where there is one.
+    /// Time left until its response-time goal, if it has one.
     pub goal: Option<Duration>,
 }
 
@@ -97,8 +102,8 @@
     /// The service has no endpoint.
     #[error("the service has no endpoint")]
     NoEndpoint,
-    /// All endpoints were tried, are set aside or are leaving.
-    #[error("all endpoints were tried, are set aside or are leaving")]
+    /// All endpoints were tried, are ejected or are leaving.
+    #[error("all endpoints were tried, are ejected or are leaving")]
     AllExcluded,
 }
 
@@ -117,8 +122,8 @@
     pub(crate) entries: Vec<TableEntry>,
     /// Sizes of answers by kind of work.
     sizes: Arc<WorkMeans<SizeMean>>,
-    /// Held while an endpoint is set aside. Two threads that each set one aside would otherwise
-    /// both count the other as in service and pass the cap.
+    /// Locked while an endpoint is ejected. Two threads that each eject one would otherwise both
+    /// count the other endpoint as in service and exceed the limit on ejections.
     pub(crate) ejection_lock: Arc<Mutex<()>>,
 }
 
@@ -128,8 +133,8 @@
         Self { settings, entries: Vec::new(), sizes: Arc::default(), ejection_lock: Arc::default() }
     }
 
-    /// Creates the table for a changed membership. Counters go over to the same incarnation only: a
-    /// new process at an old address starts cold and with a clean record.
+    /// Creates the table for a changed membership. Counters carry over to the same incarnation
+    /// only: a new process at an old address starts cold and without a history.
     #[must_use]
     pub fn rebuild(&self, records: &[EndpointRecord], now: Duration) -> Self {
         let gauges: HashMap<_, _> = self
@@ -185,24 +190,24 @@
         }
     }
 
-    /// Records what an endpoint says of its load, from 0 (idle) to 1 (full). It lowers the
-    /// endpoint's share until it expires, and never raises it.
+    /// Records the load that an endpoint reports, from 0 (idle) to 1 (full). It lowers the slots
+    /// counted on at the endpoint until it expires, and never raises them.
     pub fn hint(&self, id: EndpointId, load: f64, now: Duration) {
         if let Some(entry) = self.entries.iter().find(|entry| entry.record.id == id) {
             entry.gauge.set_hint(load, now + self.settings.hint_life);
         }
     }
 
-    /// Records how long a request would wait for a slot at an endpoint, as its guard says. It
-    /// holds until the wait would be over.
+    /// Records how long a request would wait for a slot at an endpoint, as its guard reports. The
+    /// report counts until that wait would be over.
     pub fn note_wait(&self, id: EndpointId, wait: Duration, now: Duration) {
         if let Some(entry) = self.entries.iter().find(|entry| entry.record.id == id) {
             entry.gauge.set_wait(now + wait.min(MAX_REPORTED_WAIT));
         }
     }
 
-    /// Records the part of failures that an endpoint's guard sees. It can only raise what this
-    /// daemon has seen itself, and fades like that.
+    /// Records the failure rate that an endpoint's guard reports, from 0 to 1. It can only raise
+    /// the rate that this daemon has seen itself, and decays like it.
     pub fn note_failing(&self, id: EndpointId, part: f64, now: Duration) {
         if let Some(entry) = self.entries.iter().find(|entry| entry.record.id == id) {
             entry.gauge.raise_failure_rate(part, now);
@@ -245,8 +250,8 @@
         self.entries.is_empty()
     }
 
-    /// Returns the slots of an endpoint that may be counted on now: fewer while it is cold, and fewer
-    /// while it says that it is loaded.
+    /// Returns the slots that can be counted on at an endpoint now: fewer while its server is cold
+    /// or reports load.
     fn effective_slots_of(&self, entry: &TableEntry, now: Duration) -> f64 {
         let settings = &self.settings;
         let warm_fraction = entry.gauge.warm_fraction(settings, now);
@@ -254,6 +259,7 @@
         f64::from(entry.record.slots.max(1)) * warm_fraction * hint_factor
     }
 
+    /// Returns the endpoints in service that may take a request.
     fn candidates(&self, request: &PlaceRequest<'_>, now: Duration) -> Vec<two_choices::Candidate> {
         self.entries
             .iter()
@@ -268,7 +274,7 @@
             .collect()
     }
 
-    /// Returns an endpoint whose time aside is over, and claims its probe.
+    /// Returns the index of an endpoint whose ejection has run out, and claims its probe.
     fn due_probe(&self, request: &PlaceRequest<'_>, now: Duration) -> Option<usize> {
         self.entries.iter().position(|entry| {
             request.may_probe
@@ -278,8 +284,8 @@
         })
     }
 
-    /// Returns an endpoint that is set aside, ahead of its time, when no other is left: an early
-    /// probe harms less than an error. The bound of one probe at a time still holds.
+    /// Places a request on an ejected endpoint before its ejection runs out, when no other is left:
+    /// an early probe harms less than an error. The limit of one probe at a time still holds.
     fn last_resort(
         self: &Arc<Self>,
         request: &PlaceRequest<'_>,
@@ -296,6 +302,7 @@
     }
 }
 
+/// Returns whether a request may go to an endpoint, ejected or not.
 fn is_eligible(entry: &TableEntry, request: &PlaceRequest<'_>) -> bool {
     !entry.gauge.is_leaving() && !request.exclude.contains(&entry.record.id)
 }
--- a/components/decide/src/placing/call.rs
+++ b/components/decide/src/placing/call.rs
@@ -22,8 +22,8 @@
 }
 
 /// A request in flight to an endpoint. Dropping it without [`PlacedCall::finish`], as when its
-/// caller leaves, ends it without a judgement: a count that never went down would keep the endpoint
-/// looking loaded for good.
+/// caller leaves, counts it out without a verdict on the endpoint: a count that never went down
+/// would make the endpoint look loaded for good.
 #[derive(Debug)]
 pub struct PlacedCall {
     table: Arc<PlacementTable>,
@@ -49,8 +49,8 @@
         Self { table: Arc::clone(table), index, work, most_wait, is_probe, has_head: false }
     }
 
-    /// Records that the head of an answer came. `transit` is the time it spent on the way, beside what
-    /// the guard says that it held the request for; none where it says nothing.
+    /// Records that the head of an answer came. `transit` is the time spent in transit, without the
+    /// time for which the guard reports to have kept the request; `None` if it reports none.
     pub fn note_head(&mut self, transit: Option<Duration>, now: Duration) {
         let gauge = &self.table.entries[self.index].gauge;
         if !std::mem::replace(&mut self.has_head, true) {
@@ -71,18 +71,19 @@
         &self.table.entries[self.index].record
     }
 
-    /// Returns how long the request may wait for a slot at the endpoint, none where it may for any time.
+    /// Returns how long the request may wait for a slot at the endpoint, or `None` if it may wait
+    /// for any time.
     pub fn most_wait(&self) -> Option<Duration> {
         self.most_wait
     }
 
-    /// Returns whether the request is the probe of an endpoint that was set aside.
+    /// Returns whether the request is the probe of an ejected endpoint.
     pub fn is_probe(&self) -> bool {
         self.is_probe
     }
 
-    /// Ends the call. `latency` is best the time that the endpoint's guard reports, without the
-    /// network, so that distance does not count as slowness.
+    /// Ends the call and judges the endpoint by its outcome. `latency` should be the time that the
+    /// endpoint's guard reports, without the network, so that distance does not count as slowness.
     pub fn finish(self, outcome: CallOutcome, latency: Duration, now: Duration) {
         self.table.record_outcome(self.index, self.work, self.is_probe, outcome, latency, now);
     }
--- a/components/decide/src/placing/gauge.rs
+++ b/components/decide/src/placing/gauge.rs
@@ -7,15 +7,17 @@
 use crate::placing::mean::{LatencyMean, WorkMeans, decay_factor, micros, signed_micros};
 use crate::placing::{EndpointId, EndpointRecord, Incarnation, PlacementSettings};
 
-/// Steps of a load hint, packed below its expiry.
+/// Largest value of a load hint in a packed hint, whose low bits it takes; the expiry is above
+/// them.
 const HINT_STEPS: u64 = 255;
-/// Bits that the load takes of a packed hint.
+/// Bits that the load takes in a packed hint.
 const HINT_BITS: u32 = 8;
-/// Weight of a request in the part of failures, as a divisor: two failures in a row count as much
-/// as half a goal of waiting, and ten successes clear them.
+/// Divisor of the weight of one request in the failure rate. With this value two failures in a row
+/// count as much as half a goal of waiting, and ten successes clear them.
 const FAILURE_WEIGHT: u32 = 6;
-/// Factor on the usual work up to which an answer that has not come says nothing of the way. Log-normal
-/// service times whose deviation is 0.8 of their mean pass it in one of twenty cases, as computed.
+/// Factor on the expected work up to which a missing answer says nothing about the transit time.
+/// Log-normal service times whose standard deviation is 0.8 of their mean exceed it in one of
+/// twenty cases.
 const SILENCE_FACTOR: u32 = 3;
 
 /// Counters of one incarnation of an endpoint. All are independent and relaxed: a value that is
@@ -25,23 +27,23 @@
     in_flight: AtomicU32,
     consecutive_failures: AtomicU32,
     latencies: WorkMeans<LatencyMean>,
-    /// Expiry in microseconds above eight bits of load.
+    /// Last load hint: its expiry in microseconds, above eight bits of load.
     hint: AtomicU64,
-    /// Start of the warm-up in microseconds, below zero for a server older than this process.
+    /// Start of the warm-up in microseconds, negative for a server older than this process.
     warm_up_start: AtomicI64,
     /// Microsecond at which a probe is due, zero while in service.
     ejected_until: AtomicU64,
     /// Microsecond until which no slot is expected to be free.
     wait_until: AtomicU64,
-    /// Time that requests spend on the way, beside the wait and the work at the guard.
+    /// Transit time of requests, without the wait and the work at the guard.
     transit: LatencyMean,
-    /// Requests that have no head of an answer yet.
+    /// Requests whose answer's head has not come yet.
     unanswered: AtomicU32,
-    /// Microsecond since which those have waited without any answer from here.
+    /// Microsecond since which these have waited without any answer from the endpoint.
     silent_since: AtomicU64,
-    /// Failures among the last requests, in thousandths.
+    /// Failure rate of the last requests, in thousandths.
     failure_rate: AtomicU32,
-    /// Microsecond of the last request that counted for them.
+    /// Microsecond at which the failure rate was last updated.
     failure_updated_at: AtomicU64,
     ejection_count: AtomicU32,
     is_probed: AtomicBool,
@@ -69,27 +71,28 @@
         }
     }
 
-    /// Returns our requests in flight.
+    /// Returns the requests of this daemon in flight.
     pub fn in_flight(&self) -> u32 {
         self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Returns whether the endpoint is set aside.
+    /// Returns whether the endpoint is ejected.
     pub fn is_ejected(&self) -> bool {
         self.ejected_until.load(Ordering::Relaxed) != 0
     }
 
-    /// Returns whether the guard has said that the server is leaving.
+    /// Returns whether the guard has reported that the server is leaving.
     pub fn is_leaving(&self) -> bool {
         self.is_leaving.load(Ordering::Relaxed)
     }
 
-    /// Ends new work for good, ahead of membership. Until that has spread, each request placed here
-    /// would be refused and cost a retry.
+    /// Takes the endpoint out of service for good, before the membership lists it as leaving. Until
+    /// then each request placed here would be refused and cost a retry.
     pub(super) fn mark_leaving(&self) {
         self.is_leaving.store(true, Ordering::Relaxed);
     }
 
+    /// Counts a request that is sent at `now`.
     pub(super) fn begin_request(&self, now: Duration) {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         if self.unanswered.fetch_add(1, Ordering::Relaxed) == 0 {
@@ -97,8 +100,8 @@
         }
     }
 
-    /// Counts a request out that has its head, or never will have one. An answer, whatever it says,
-    /// shows that the way to the endpoint is open.
+    /// Counts out a request whose answer's head came at `answered_at`, or which ends without one.
+    /// An answer, whatever it says, shows that messages get through to the endpoint and back.
     pub(super) fn end_unanswered(&self, answered_at: Option<Duration>) {
         self.unanswered.fetch_sub(1, Ordering::Relaxed);
         if let Some(now) = answered_at {
@@ -106,16 +109,17 @@
         }
     }
 
-    /// Adds the time that a request spent on the way.
+    /// Adds the transit time of a request.
     pub(super) fn add_transit(&self, transit: Duration, now: Duration) {
         self.transit.add(transit, now);
     }
 
-    /// Returns the time that a request of some work is expected to spend on the way.
+    /// Returns the expected transit time of a request whose work takes `work`.
     ///
-    /// A full link, or a daemon without processor time, shows in no count that its guard could send:
-    /// what it sends is late itself. So the time is what answers have taken beside the wait and the
-    /// work, or what requests without an answer have waited beyond them by now.
+    /// A full link, or a daemon without processor time, cannot be seen in any count that its guard
+    /// sends, since what it sends is late itself. The transit time is therefore what answers took
+    /// beyond the wait and the work, or what requests without an answer have waited beyond them by
+    /// now.
     pub(super) fn transit(&self, work: Duration, now: Duration) -> Duration {
         let measured = self.transit.decayed_towards(Duration::ZERO, now);
         let silence = match self.unanswered.load(Ordering::Relaxed) {
@@ -126,17 +130,20 @@
         measured.max(Duration::from_micros(silence).saturating_sub(expected))
     }
 
+    /// Counts out a request that has ended.
     pub(super) fn end_request(&self) {
         self.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Returns the warm-up's progress, from the cold share to one.
+    /// Returns the fraction of its slots that is counted on during the warm-up, from the cold share
+    /// to 1.
     pub(super) fn warm_fraction(&self, settings: &PlacementSettings, now: Duration) -> f64 {
         let elapsed = signed_micros(now) - self.warm_up_start.load(Ordering::Relaxed);
         let whole = signed_micros(settings.warm_up).max(1);
         (elapsed as f64 / whole as f64).clamp(settings.cold_share, 1.0)
     }
 
+    /// Stores a load, from 0 to 1, that counts until `expiry`.
     pub(super) fn set_hint(&self, load: f64, expiry: Duration) {
         // The clamp keeps the cast within eight bits; a NaN becomes zero.
         let steps = (load.clamp(0.0, 1.0) * HINT_STEPS as f64) as u64;
@@ -156,13 +163,13 @@
         self.wait_until.store(micros(until), Ordering::Relaxed);
     }
 
-    /// Returns how long a request would wait for a slot, as far as was said.
+    /// Returns how long a request would wait for a slot, as last reported.
     pub(super) fn wait(&self, now: Duration) -> Duration {
         let until = self.wait_until.load(Ordering::Relaxed);
         Duration::from_micros(until.saturating_sub(micros(now)))
     }
 
-    /// Counts a request for the part of failures.
+    /// Counts a request that has ended in the failure rate.
     pub(super) fn record_end(&self, is_failure: bool, now: Duration) {
         let sample = if is_failure { 1000 } else { 0 };
         let current = (self.failure_rate(now) * 1000.0) as u32;
@@ -171,7 +178,7 @@
         self.failure_updated_at.store(micros(now), Ordering::Relaxed);
     }
 
-    /// Raises the part of failures to what another one has seen.
+    /// Raises the failure rate to one that another daemon has seen.
     pub(super) fn raise_failure_rate(&self, rate: f64, now: Duration) {
         if rate > self.failure_rate(now) {
             self.failure_rate.store((rate.clamp(0.0, 1.0) * 1000.0) as u32, Ordering::Relaxed);
@@ -179,15 +186,15 @@
         }
     }
 
-    /// Returns the part of failures among the last requests, from 0 to 1. It fades while none come,
-    /// so that a server that failed is tried again.
+    /// Returns the failure rate of the last requests, from 0 to 1. It decays while none come, so
+    /// that a server that failed is tried again.
     pub(super) fn failure_rate(&self, now: Duration) -> f64 {
         let idle = micros(now).saturating_sub(self.failure_updated_at.load(Ordering::Relaxed));
         let current = f64::from(self.failure_rate.load(Ordering::Relaxed)) / 1000.0;
         current * decay_factor(idle)
     }
 
-    /// Counts failures in a row and gives their number.
+    /// Counts failures in a row and returns their number.
     pub(super) fn add_failures(&self, count: u32) -> u32 {
         self.consecutive_failures.fetch_add(count, Ordering::Relaxed).saturating_add(count)
     }
@@ -206,7 +213,7 @@
         until != 0 && until <= micros(now)
     }
 
-    /// Claims the one probe, or gives `false` if it is under way.
+    /// Claims the one probe; returns `false` if a probe is under way.
     pub(super) fn claim_probe(&self) -> bool {
         self.is_probed.compare_exchange(false, true, Ordering::AcqRel, Ordering::Relaxed).is_ok()
     }
@@ -215,21 +222,21 @@
         self.is_probed.store(false, Ordering::Release);
     }
 
-    /// Sets the endpoint aside, for longer with each strike.
+    /// Ejects the endpoint. Each ejection since it last ran well doubles the time.
     pub(super) fn eject(&self, settings: &PlacementSettings, now: Duration) {
         let doublings = self.ejection_count.fetch_add(1, Ordering::Relaxed).min(31);
         let time = settings.ejection_base.saturating_mul(1 << doublings).min(settings.ejection_cap);
         self.ejected_until.store(micros(now + time).max(1), Ordering::Relaxed);
     }
 
-    /// Puts the next probe off without a strike, as after a refusal, which says that the guard
-    /// works but nothing of the server.
+    /// Postpones the next probe without counting an ejection, as after a refusal, which shows that
+    /// the guard works but nothing of the server.
     pub(super) fn postpone_probe(&self, settings: &PlacementSettings, now: Duration) {
         self.ejected_until.store(micros(now + settings.ejection_base).max(1), Ordering::Relaxed);
     }
 
-    /// Takes the endpoint back into service, cold and with a clean record. Its strikes stay until
-    /// it has warmed up, so that one which fails again at once is set aside for longer.
+    /// Takes the endpoint back into service, cold and without its history. Its ejections stay
+    /// counted until it has warmed up, so that one which fails again at once is ejected for longer.
     pub(super) fn reinstate(&self, now: Duration) {
         self.clear_failures();
         self.latencies.all().for_each(LatencyMean::reset);
@@ -237,7 +244,7 @@
         self.ejected_until.store(0, Ordering::Relaxed);
     }
 
-    /// Forgets old strikes.
+    /// Forgets earlier ejections.
     pub(super) fn reset_ejection_count(&self) {
         self.ejection_count.store(0, Ordering::Relaxed);
     }
@@ -247,20 +254,20 @@
     }
 }
 
-/// What a dump shows of an endpoint.
+/// State of an endpoint as a dump shows it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointState {
-    /// Which endpoint.
+    /// Identifies the endpoint.
     pub id: EndpointId,
-    /// Which process at it.
+    /// Identifies the process at the endpoint.
     pub incarnation: Incarnation,
-    /// Our requests in flight.
+    /// Requests of this daemon in flight.
     pub in_flight: u32,
-    /// Slots counted on now.
+    /// Slots that are counted on now.
     pub effective_slots: f64,
-    /// Whether it is set aside.
+    /// Whether it is ejected.
     pub is_ejected: bool,
-    /// Times it was set aside since it last ran well.
+    /// Ejections since it last ran well.
     pub ejection_count: u32,
     /// Whether it is leaving.
     pub is_leaving: bool,
--- a/components/decide/src/placing/mean.rs
+++ b/components/decide/src/placing/mean.rs
@@ -1,19 +1,20 @@
-//! Running means of times and sizes, and how times age.
+//! Running means of times and sizes, and the decay of times without new samples.
 
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 use std::time::Duration;
 
 use crate::WorkKey;
 
-/// Weight of a new latency in the mean, as a divisor: follows a change within some eight requests.
+/// Divisor of the weight of a new sample in a mean, which then follows a change within some eight
+/// requests.
 const MEAN_WEIGHT: u64 = 8;
 
-/// Time without a sample in which a figure halves its weight: a second or two, so that a server that
-/// was slow or failed is tried again soon, by one request of each daemon.
+/// Time without a sample in which the weight of a value halves: a second or two, so that a server
+/// that was slow or failed is tried again soon, by one request of each daemon.
 const HALF_LIFE_MICROS: u64 = 2_000_000;
 
-/// Kinds of work with a mean of their own at one endpoint: twice the routes of a large service that differ
-/// in their figures. Kinds beyond them share cells.
+/// Kinds of work with a mean of their own at one endpoint: twice the routes of a large service that
+/// differ in their service times. Kinds beyond them share cells.
 const WORK_CELLS: usize = 16;
 
 /// A running mean of latencies with the number of samples.
@@ -27,7 +28,7 @@
 }
 
 impl LatencyMean {
-    /// Adds a latency that was seen at `now`, and gives the number of samples.
+    /// Adds a latency that was seen at `now`, and returns the number of samples.
     pub(super) fn add(&self, latency: Duration, now: Duration) -> u32 {
         self.at.store(micros(now), Ordering::Relaxed);
         let latency = micros(latency);
@@ -40,14 +41,14 @@
         before.saturating_add(1)
     }
 
-    /// Returns the mean where a sample came lately.
+    /// Returns the mean, if a sample came within the half-life.
     pub(super) fn recent(&self, now: Duration) -> Option<Duration> {
         let idle = micros(now).saturating_sub(self.at.load(Ordering::Relaxed));
         let is_recent = self.samples.load(Ordering::Relaxed) > 0 && idle < HALF_LIFE_MICROS;
         is_recent.then(|| Duration::from_micros(self.mean.load(Ordering::Relaxed)))
     }
 
-    /// Returns the mean, nearer to what is usual the longer no sample came.
+    /// Returns the mean, the nearer to `usual` the longer no sample came.
     pub(super) fn decayed_towards(&self, usual: Duration, now: Duration) -> Duration {
         if self.samples.load(Ordering::Relaxed) == 0 {
             return usual;
@@ -58,12 +59,13 @@
         mean.mul_f64(weight) + usual.mul_f64(1.0 - weight)
     }
 
-    /// Returns the mean once there are enough samples.
+    /// Returns the mean, if it has at least `min_samples` samples.
     pub(super) fn mean_if_sampled(&self, min_samples: u32) -> Option<Duration> {
         (self.samples.load(Ordering::Relaxed) >= min_samples)
             .then(|| Duration::from_micros(self.mean.load(Ordering::Relaxed)))
     }
 
+    /// Forgets the samples.
     pub(super) fn reset(&self) {
         self.samples.store(0, Ordering::Relaxed);
     }
@@ -71,9 +73,9 @@
 
 /// Means by kind of work.
 ///
-/// Made for services whose kinds of work differ severalfold. Where an upload of 72 ms and an alert of
-/// 24 ms shared one mean, an endpoint that had got uploads looked too slow for alerts, and nine in ten of
-/// them left a data centre whose own server was nearly idle.
+/// The kinds of work of one service can differ severalfold. Where an upload of 72 ms and an alert
+/// of 24 ms shared one mean, an endpoint that had got uploads looked too slow for alerts, and nine
+/// in ten of them left a data centre whose own server was nearly idle.
 #[derive(Debug, Default)]
 pub(super) struct WorkMeans<T> {
     cells: [WorkCell<T>; WORK_CELLS],
@@ -87,8 +89,8 @@
 }
 
 impl<T> WorkCell<T> {
-    /// Returns whether the cell is that of a kind, after claiming it for the kind where it is free. Only a
-    /// free cell is written to: all of them are looked at for each request that is placed.
+    /// Returns whether the cell belongs to a kind, after claiming it for the kind if it is free.
+    /// Only a free cell is written to, since each request that is placed scans the cells.
     fn claim_for(&self, work: u64) -> bool {
         match self.work.load(Ordering::Relaxed) {
             0 => {
@@ -106,7 +108,7 @@
     pub(super) fn for_kind(&self, work: WorkKey) -> &T {
         // Zero marks a free cell.
         let work = work.wrapping_add(1).max(1);
-        // Below the number of cells.
+        // The remainder is below the number of cells, so it fits.
         let first = (work % WORK_CELLS as u64) as usize;
         let mut probed = self.cells[first..].iter().chain(&self.cells[..first]);
         &probed.find(|cell| cell.claim_for(work)).unwrap_or(&self.cells[first]).mean
@@ -136,7 +138,7 @@
     }
 }
 
-/// Returns what a figure still counts for when it is so many microseconds old.
+/// Returns the weight, from 1 down to 0, of a value that is `idle` microseconds old.
 pub(super) fn decay_factor(idle: u64) -> f64 {
     (-(idle as f64) / HALF_LIFE_MICROS as f64).exp2()
 }
--- a/components/decide/src/placing/outlier.rs
+++ b/components/decide/src/placing/outlier.rs
@@ -1,8 +1,9 @@
-//! Setting endpoints aside that fail or are slow, by what our own requests saw.
+//! Ejection of endpoints that fail or are slow, as this daemon's own requests show.
 //!
-//! Made for a server that accepts work and fails it, or does it ten times slower: its own health
-//! endpoint still says that all is well. What prevents harm from wrong judgements is the cap: when
-//! most endpoints look bad, the fault is elsewhere, and sending all load to the rest would fell it.
+//! A broken server can accept work and fail it, or take ten times as long, while its own health
+//! endpoint reports that all is well. Such an endpoint is ejected until a probe succeeds. A limit
+//! on the ejected endpoints prevents harm from wrong verdicts: when most endpoints look bad, the
+//! fault is elsewhere, and sending all load to the rest would bring it down.
 
 use std::time::Duration;
 
@@ -13,7 +14,7 @@
 const MIN_PEERS: usize = 2;
 
 impl PlacementTable {
-    /// Judges an endpoint by the end of a request.
+    /// Counts the end of a request, and ejects or reinstates its endpoint where that is due.
     pub(super) fn record_outcome(
         &self,
         index: usize,
@@ -42,30 +43,33 @@
         }
     }
 
-    /// Takes endpoints back, the longest aside first, until no more than the cap allows are aside.
-    /// Needed when healthy endpoints leave while others are aside.
+    /// Reinstates ejected endpoints, first those whose probe is due first, until no more are
+    /// ejected than the limit allows. Needed when healthy endpoints leave while others are ejected.
     pub(super) fn reinstate_excess(&self, now: Duration) {
         let _guard = self.lock_ejection();
-        let mut ejected: Vec<_> = self.not_leaving().filter(|entry| entry.gauge.is_ejected()).collect();
+        let mut ejected: Vec<_> =
+            self.not_leaving().filter(|entry| entry.gauge.is_ejected()).collect();
         ejected.sort_by_key(|entry| entry.gauge.ejected_until());
-        let excess = ejected.len().saturating_sub(self.settings.max_ejected(self.not_leaving().count()));
+        let excess =
+            ejected.len().saturating_sub(self.settings.max_ejected(self.not_leaving().count()));
         ejected.iter().take(excess).for_each(|entry| entry.gauge.reinstate(now));
     }
 
-    /// Returns the endpoints that are not leaving. Those that are must not count for the cap, or the
-    /// last one that stays could be set aside.
+    /// Returns the endpoints that are not leaving. Those that are must not count for the limit, or
+    /// the last one that stays could be ejected.
     fn not_leaving(&self) -> impl Iterator<Item = &TableEntry> {
         self.entries.iter().filter(|entry| !entry.gauge.is_leaving())
     }
 
-    /// A refusal means that the server is loaded. Its share goes down for a moment; a higher load
-    /// that it reported itself stands.
+    /// Lowers the slots counted on for a moment, since a refusal means that the server is loaded. A
+    /// higher load that the server reported itself stands.
     fn record_refusal(&self, entry: &TableEntry, now: Duration) {
         let load = entry.gauge.current_hint(now).max(self.settings.refusal_load);
         entry.gauge.set_hint(load, now + self.settings.hint_life);
     }
 
-    /// A probe is judged on its own: one success that is not slow brings the endpoint back, cold.
+    /// Judges a probe on its own: one success that is not slow reinstates the endpoint, cold; all
+    /// else ejects it again.
     fn judge_probe(
         &self,
         entry: &TableEntry,
@@ -89,7 +93,7 @@
         }
         let mean = entry.gauge.latency(work);
         let samples = mean.add(latency, now);
-        // Each judgement looks at all peers, so it is made once per handful of requests.
+        // The check for slowness scans all peers, so it is made once per handful of requests.
         let is_due = samples.is_multiple_of(settings.slow_samples.max(1));
         match mean.mean_if_sampled(settings.slow_samples) {
             Some(mean) if is_due && self.is_slow(entry, work, mean) => self.try_eject(entry, now),
@@ -103,9 +107,10 @@
         }
     }
 
-    /// Sets an endpoint aside, or lowers its share for a while if the cap is reached. With two of
-    /// five gone and one aside, the other would else take a fifth of the calls, which is more than
-    /// the retry budget covers. All shares low alike leave the division as it was.
+    /// Ejects an endpoint, or lowers the slots counted on at it for a while if the limit is
+    /// reached. With two of five endpoints gone and one ejected, the other would otherwise take a
+    /// fifth of the calls, which is more than the retry budget covers. When all endpoints are
+    /// lowered alike, the calls are divided among them as before.
     fn try_eject(&self, entry: &TableEntry, now: Duration) {
         let _guard = self.lock_ejection();
         let ejected = self.not_leaving().filter(|entry| entry.gauge.is_ejected()).count();
--- a/components/decide/src/placing/settings.rs
+++ b/components/decide/src/placing/settings.rs
@@ -1,78 +1,84 @@
-//! Settings of placing.
+//! Settings of placement.
 
 use std::time::Duration;
 
 /// How an endpoint is chosen among those that may take a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PlacementOrder {
-    /// The nearest data centre that is not loaded, and in it the better of two drawn by share. Made
-    /// for work of a few milliseconds, where looking further costs as much as the work.
+    /// The nearest data centre that is not loaded, and in it the better of two endpoints drawn in
+    /// proportion to their slots. For work of a few milliseconds, where trying farther endpoints
+    /// costs as much as the work.
     #[default]
     Draw,
-    /// Where the answer is expected first. Made for work that is long beside a round trip.
+    /// The endpoint whose answer is expected first. For work that is long beside a round trip.
     Soonest,
 }
 
-/// Settings of placing, the same for all services of a daemon.
+/// Settings of placement, the same for all services of a daemon.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlacementSettings {
-    /// How an endpoint is chosen. Default draw.
+    /// Rule by which an endpoint is chosen. Default [`PlacementOrder::Draw`].
     pub order: PlacementOrder,
-    /// Load of a tier, as our requests in flight per share, at which requests begin to spill to
-    /// the next. Default 0.7: above it queues form at some server.
+    /// Load of the endpoints at one distance, in requests of this daemon in flight per slot counted
+    /// on, at which requests begin to spill to the next distance. Default 0.7: above it queues form
+    /// at some server.
     pub spill_start: f64,
-    /// Load at which all spill. Default 1.0, all slots taken. Between the two the portion grows
-    /// evenly, since a sharp threshold would swing whole data centres back and forth.
+    /// Load at which all requests spill. Default 1.0: all slots are taken. Between the two loads
+    /// the fraction that spills grows evenly, since a sharp threshold would make whole data centres
+    /// swing back and forth.
     pub spill_full: f64,
-    /// Share of a server that has just started, as a fraction. Default 0.1: one slot of twelve.
+    /// Fraction of its slots that is counted on at a server that has just started. Default 0.1: one
+    /// slot of twelve.
     pub cold_share: f64,
-    /// Time in which the share grows to the whole. Default 30 s, for caches and pools to fill.
+    /// Time in which that fraction grows to 1. Default 30 s, for caches and pools to fill.
     pub warm_up: Duration,
-    /// How long a load hint counts. Default 2 s: older ones describe a load that has moved on.
+    /// How long a load hint counts. Default 2 s: an older one describes a load that has changed.
     pub hint_life: Duration,
-    /// Portion of a share that a full hint takes away. Default 0.9: a server that wrongly reports
-    /// itself full keeps a tenth, enough to show that it is not.
+    /// Fraction of the slots counted on that a hint of full load takes away. Default 0.9: a server
+    /// that wrongly reports itself full keeps a tenth, enough to show that it is not.
     pub hint_weight: f64,
-    /// Load that a refusal stands for, as a hint. Default 0.5.
+    /// Load that a refusal counts as, as a hint. Default 0.5.
     pub refusal_load: f64,
-    /// Failures in a row at which an endpoint is set aside. Default 5: at a normal failure rate of
-    /// 5 %, five in a row are a matter of hours.
+    /// Failures in a row at which an endpoint is ejected. Default 5: at a normal failure rate of 5
+    /// %, five in a row come by chance only once in hours.
     pub failure_limit: u32,
-    /// Failures that an unreachable endpoint counts for. Default 3, so that two connections
-    /// refused suffice.
+    /// Failures that an unreachable endpoint counts as. Default 3, so that two refused connections
+    /// suffice.
     pub unreachable_weight: u32,
-    /// Mean latency at which an endpoint is set aside, in times the median of its peers. Default 4.
+    /// Mean latency at which an endpoint is ejected, as a multiple of the median of its peers.
+    /// Default 4.
     pub slow_ratio: f64,
     /// Least excess over that median. Default 5 ms: below it the ratio is noise.
     pub slow_excess: Duration,
-    /// Latencies needed for a judgement. Default 8, two seconds of one daemon's traffic.
+    /// Latencies needed for that verdict. Default 8: two seconds of one daemon's traffic.
     pub slow_samples: u32,
-    /// Largest fraction of endpoints set aside at once. Default a third: the others can take its
-    /// load. One may always be set aside where there are two or more.
+    /// Largest fraction of endpoints that are ejected at once. Default a third, whose load the
+    /// others can take. One may always be ejected where there are two or more.
     pub max_ejected_share: f64,
-    /// First time aside; it doubles with each probe that fails. Default 5 s.
+    /// Time of a first ejection; it doubles with each probe that fails. Default 5 s.
     pub ejection_base: Duration,
-    /// Longest time aside. Default 60 s.
+    /// Longest time of an ejection. Default 60 s.
     pub ejection_cap: Duration,
-    /// Wait for a slot in the own data centre that a kilobyte is worth which would have to cross to
-    /// another, where the answer is in time either way. Default 4 ms.
+    /// Wait for a slot in the own data centre that is accepted per kilobyte which would otherwise
+    /// cross to another data centre, where the answer is in time either way. Default 4 ms.
     pub near_wait: Duration,
-    /// What placing weighs.
+    /// Observations that placement takes into account.
     pub weights: PlacementWeights,
 }
 
-/// What placing by the soonest answer weighs. Each can be left out to find what it is worth.
+/// Observations that [`PlacementOrder::Soonest`] takes into account. Each can be left out, to
+/// measure what it gains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlacementWeights {
-    /// Times of each kind of work, in place of one of all.
+    /// Service times of each kind of work, in place of one time per class.
     pub by_work: bool,
-    /// Failures of an endpoint.
+    /// Failure rates of endpoints.
     pub failures: bool,
-    /// Time on the way.
+    /// Transit times to endpoints.
     pub transit: bool,
-    /// The guards' word on the wait for a slot.
+    /// Waits for a slot that guards report.
     pub wait: bool,
-    /// Endpoints that stand out by failures or slowness, which are set aside.
+    /// Ejection of endpoints that stand out by failures or slowness.
     pub outliers: bool,
 }
 
@@ -108,7 +114,7 @@
 }
 
 impl PlacementSettings {
-    /// Returns how many of `count` endpoints may be set aside at once. At least one stays.
+    /// Returns how many of `count` endpoints may be ejected at once. At least one stays in service.
     pub fn max_ejected(&self, count: usize) -> usize {
         // Both casts are of small non-negative counts.
         let share = (count as f64 * self.max_ejected_share).floor() as usize;
--- a/components/decide/src/placing/soonest.rs
+++ b/components/decide/src/placing/soonest.rs
@@ -1,11 +1,30 @@
 //! Choosing the endpoint whose answer is expected first.
 //!
-//! Made for work of a tenth of a second and more on servers that differ threefold in speed. There a
-//! message between daemons costs nothing beside a wait: first every server with a free slot is
-//! tried, the best first, and only when none has one does the request queue, where the wait and the
-//! work together are least. Two drawn by share queue requests behind a slow server while a faster
-//! one is idle: on Ledvica's five days of trouble callers earned 0.85 of what they were owed with two
-//! drawn, and 0.90 with this and the order of urgency.
+//! This order is for work of a tenth of a second and more on servers that differ threefold in
+//! speed, where a message between daemons costs nothing beside a wait. Servers with a free slot are
+//! tried first, the best one first; only when none has one does the request queue, at the server
+//! where the wait and the work together are least. Two servers drawn at random would queue requests
+//! behind a slow server while a faster one is idle: over five days with failing and slow servers,
+//! callers got 0.85 of the value due to them with two drawn, and 0.90 with this order and the queue
+//! by urgency.
+//!
+//! The endpoint with the least cost is chosen. The cost is the expected time until the answer (wait
+//! for a slot, transit and work) plus penalties, expressed as time, and a small random part.
+//! The penalties rank endpoints in this order:
+//!
+//! 1. By whether the answer is expected safely within the goal (`MISSED_GOAL_PENALTY`). An endpoint
+//!    that is expected to miss the goal, or that often fails, gets no request while another will
+//!    meet it.
+//! 2. By region (`OTHER_REGION_PENALTY`). A request does not leave the region to save a wait.
+//! 3. By data centre, where the answer is in time (`IN_TIME_REGION_PENALTY`). Bytes do not cross
+//!    between data centres for an answer that would be in time without it.
+//! 4. By failures beyond those of the peers (the goal, or `FAILURE_PENALTY`). A near, quick server
+//!    does not attract requests that it is likely to fail.
+//! 5. By data centre, where the answer is late (`LATE_LONG_REGION_PENALTY`, `LATE_REGION_PENALTY`).
+//!    A late answer crosses between data centres only where it comes sooner by more than the
+//!    crossing costs.
+//!
+//! Between endpoints that are alike in these, the time until the answer decides.
 
 use std::time::Duration;
 
@@ -14,44 +33,51 @@
 use crate::placing::{EndpointDistance, PlaceRequest, PlacementTable, TableEntry};
 use crate::{WorkClass, WorkKey};
 
-/// Time that a data centre of the same region is behind the own one while the answer is expected
-/// within its goal either way: more than any goal, so that bytes cross between data centres only
-/// where callers gain by it.
+/// Penalty of another data centre of the same region while the answer is expected within its goal.
+/// It is more than any goal, so that the own data centre wins wherever it meets the goal too, and
+/// bytes cross between data centres only where callers gain by it.
 const IN_TIME_REGION_PENALTY: Duration = Duration::from_secs(5);
-/// The same where no goal is met or set: some round trips.
+/// Penalty of another data centre of the same region where no goal is met or set: some round trips.
 const LATE_REGION_PENALTY: Duration = Duration::from_millis(15);
-/// The same for long work. Its answers are large, and one that is late either way is as good to its
-/// caller from near by, up to about the goal once more.
+/// The same penalty for long work. Its answers are large, and one that is late either way is as
+/// good to its caller from near by, as long as it is later by no more than about the goal once
+/// more.
 const LATE_LONG_REGION_PENALTY: Duration = Duration::from_secs(1);
-/// Time that another region is worth: more than any wait that callers accept.
+/// Penalty of another region. It is more than any wait that callers accept, so that no request
+/// leaves its region to save a wait.
 const OTHER_REGION_PENALTY: Duration = Duration::from_secs(10);
-/// Time by which an endpoint that is expected to miss the goal is behind all that meet it.
+/// Penalty of an endpoint that is expected to miss the goal. It is more than the other penalties
+/// and a wait together, so that such an endpoint ranks behind all that meet the goal. A request
+/// without a goal pays it at every endpoint, which changes no ranking.
 const MISSED_GOAL_PENALTY: Duration = Duration::from_secs(30);
-/// Factor on the usual work within which an answer counts as safely in time. Log-normal service times
-/// whose deviation is 0.8 of their mean stay below it in five of six cases, as computed.
+/// Factor on the work expected of an endpoint, within which an answer counts as safely in time.
+/// Log-normal service times whose standard deviation is 0.8 of their mean stay below it in five of
+/// six cases.
 const GOAL_SAFETY_FACTOR: f64 = 1.6;
-/// Time that a certain failure is worth where there is no goal, for an endpoint's part of failures: about
-/// the whole that a caller has for an answer, since a failed request has to be run again or is lost. Where
-/// there is a goal, that is what it is worth.
+/// Penalty of a certain failure for a request without a goal; an endpoint pays it in proportion to
+/// its failure rate. It is about the whole time that a caller has for an answer, since a failed
+/// request has to be run again or is lost. For a request with a goal, the goal is the penalty.
 const FAILURE_PENALTY: Duration = Duration::from_secs(2);
-/// Part of failures up to which an endpoint counts as sound: one failure a moment ago. One that
-/// fails more often is not taken for being near.
+/// Highest failure rate at which an endpoint counts as healthy: that of one failure a moment ago.
+/// An endpoint that fails more often never counts as in time, so that it is not chosen for being
+/// near.
 const MAX_HEALTHY_FAILURE_RATE: f64 = 0.2;
-/// Part of failures from which a free slot says nothing: a server that fails at once always has one,
-/// and would draw the requests that the others have no room for. It still gets some while the others
-/// make callers wait for long.
+/// Failure rate from which a free slot says nothing: a server that fails at once always has one,
+/// and would attract the requests that the others have no slot for. It still gets some requests
+/// when these queue, while the others make callers wait for long.
 const MIN_FAILING_RATE: f64 = 0.25;
-/// Portion of the usual work by which costs are varied at random, so that daemons that all know the
-/// same do not all send to the same server.
+/// Largest random part of a cost, as a fraction of the usual work. Daemons that all know the same
+/// would otherwise all send to the same server.
 const COST_JITTER: f64 = 0.3;
-/// Usual work that is assumed while none is known.
+/// Usual work that is assumed while none is known, and its lower bound.
 const MIN_USUAL_WORK: Duration = Duration::from_millis(1);
-/// Wait at which an endpoint counts as having a free slot still: the answer that said so was on its
-/// way for about as long.
+/// Reported wait up to which an endpoint still counts as having a free slot: the answer that
+/// carried the report was in transit for about as long.
 const FREE_SLOT_TOLERANCE: Duration = Duration::from_millis(2);
 
 impl PlacementTable {
-    /// Returns the endpoint with the least cost, none where no endpoint may take the request.
+    /// Returns the index of the endpoint with the least cost, or `None` if no endpoint may take the
+    /// request.
     pub(super) fn pick_soonest(
         &self,
         request: &PlaceRequest<'_>,
@@ -77,8 +103,9 @@
         best.map(|(_, index)| index)
     }
 
-    /// Returns the time until an answer of an endpoint, with what else it costs put as time. `usual` is the
-    /// usual time of such work and `failures` the part of failures that the endpoint has beyond its peers.
+    /// Returns the cost of an endpoint: the expected time until its answer, plus penalties. `usual`
+    /// is the usual time of such work, and `failures` the failure rate of the endpoint beyond that
+    /// of its peers.
     fn cost(
         &self,
         entry: &TableEntry,
@@ -87,7 +114,7 @@
         now: Duration,
     ) -> Duration {
         let gauge = &entry.gauge;
-        // What was measured long ago says less and less: a server that was slow must be tried again.
+        // An old measurement counts less and less, so that a server that was slow is tried again.
         let work = gauge.latency(self.work_of(request)).decayed_towards(usual, now);
         // A cold server takes about twice as long.
         let work = work.div_f64(gauge.warm_fraction(&self.settings, now).max(0.5));
@@ -95,11 +122,15 @@
         let wait = if weights.wait { gauge.wait(now) } else { Duration::ZERO };
         let transit = if weights.transit { gauge.transit(work, now) } else { Duration::ZERO };
         let is_in_time = failures <= MAX_HEALTHY_FAILURE_RATE
-            && request.goal.is_some_and(|goal| wait + transit + work.mul_f64(GOAL_SAFETY_FACTOR) <= goal);
+            && request
+                .goal
+                .is_some_and(|goal| wait + transit + work.mul_f64(GOAL_SAFETY_FACTOR) <= goal);
         let distance = match entry.record.distance {
             EndpointDistance::SameCentre => Duration::ZERO,
             EndpointDistance::SameRegion if is_in_time => IN_TIME_REGION_PENALTY,
-            EndpointDistance::SameRegion if request.class == WorkClass::Long => LATE_LONG_REGION_PENALTY,
+            EndpointDistance::SameRegion if request.class == WorkClass::Long => {
+                LATE_LONG_REGION_PENALTY
+            }
             EndpointDistance::SameRegion => LATE_REGION_PENALTY,
             EndpointDistance::OtherRegion => OTHER_REGION_PENALTY,
         };
@@ -108,7 +139,8 @@
         wait + transit + work + distance + missed_goal + failures
     }
 
-    /// Returns the kind that a request's time is learnt under.
+    /// Returns the key that a request's service times are kept under: the kind of its work, or its
+    /// class where kinds are not told apart.
     pub(super) fn work_of(&self, request: &PlaceRequest<'_>) -> WorkKey {
         match self.settings.weights.by_work {
             true => request.work,
@@ -116,13 +148,15 @@
         }
     }
 
-    /// Returns how long a request may wait for a slot at an endpoint: for any time where it may queue,
-    /// not at all where it looks for a free slot, and a moment in the own data centre.
+    /// Returns how long a request may wait for a slot at an endpoint: for any time (`None`) if it
+    /// may queue; if it looks for a free slot, a short time in the own data centre and not at all
+    /// elsewhere.
     ///
-    /// Made for a data centre whose servers are full for moments. Each request that met one then crossed
-    /// to another data centre, uploads of 60 KB too, for a slot that would have been free near by some
-    /// milliseconds later. The wait grows with the bytes, so that when a data centre is short of slots
-    /// for longer, what goes is what is light.
+    /// The servers of a data centre are at times all full for a moment. Without this wait each
+    /// request that met a full server crossed to another data centre, uploads of 60 KB too, for a
+    /// slot that would have been free near by some milliseconds later. The wait grows with the
+    /// bytes of the request, so that when a data centre is short of slots for longer, the light
+    /// requests are the ones that leave.
     pub(super) fn most_wait(
         &self,
         entry: &TableEntry,
@@ -136,7 +170,8 @@
         }
     }
 
-    /// Returns whether an endpoint has a slot free, or soon enough, for work that it will likely do.
+    /// Returns whether an endpoint has a free slot, or will have one soon enough, and does not fail
+    /// too often for this to matter.
     fn has_free_slot(
         &self,
         entry: &TableEntry,
@@ -146,16 +181,18 @@
     ) -> bool {
         let most = self.most_wait(entry, request).unwrap_or(Duration::MAX);
         let weights = &self.settings.weights;
-        let is_soon = !weights.wait || entry.gauge.wait(now) <= most.saturating_add(FREE_SLOT_TOLERANCE);
+        let is_soon =
+            !weights.wait || entry.gauge.wait(now) <= most.saturating_add(FREE_SLOT_TOLERANCE);
         is_soon && failures < MIN_FAILING_RATE
     }
 
-    /// Returns the part of each endpoint's failures beyond what is usual among its peers.
+    /// Returns the failure rate of each endpoint beyond the median of all.
     ///
-    /// Made for failures that are not the endpoint's own: a call that all servers of a service need fails,
-    /// or all of them shed. Held against each, they drove requests from one data centre to another and
-    /// into queues, for servers that fail just as much. With their median left out, and a failure worth a
-    /// goal in place of two seconds, callers of five days got 0.937 of what they were owed, 0.931 before.
+    /// Some failures are not the endpoint's own: a call that all servers of a service need fails,
+    /// or all of them shed load. Counted against each endpoint, they drove requests from one data
+    /// centre to another and into queues, for servers that failed just as much. With the median
+    /// left out, and a failure weighed as one goal in place of two seconds, callers got 0.937 of
+    /// the value due to them over five days, and 0.931 before.
     fn excess_failure_rates(&self, now: Duration) -> Vec<f64> {
         if !self.settings.weights.failures {
             return vec![0.0; self.entries.len()];
@@ -164,12 +201,13 @@
             self.entries.iter().map(|entry| entry.gauge.failure_rate(now)).collect();
         let mut sorted = rates.clone();
         sorted.sort_unstable_by(f64::total_cmp);
-        // Of two, the lower one: one of them failing is no common failure.
+        // Of two endpoints the lower rate: one of them failing is no common failure.
         let usual = sorted.get(sorted.len().saturating_sub(1) / 2).copied().unwrap_or_default();
         rates.into_iter().map(|rate| (rate - usual).max(0.0)).collect()
     }
 
-    /// Returns the usual time of a kind of work, the median of the endpoints'; zero while none is known.
+    /// Returns the usual time of a kind of work, the median of the endpoints with a recent sample;
+    /// zero while there is none.
     pub fn usual_work(&self, work: WorkKey, now: Duration) -> Duration {
         let known = self.entries.iter().filter_map(|entry| entry.gauge.latency(work).recent(now));
         let mut known: Vec<Duration> = known.collect();
--- a/components/decide/src/quarantine.rs
+++ b/components/decide/src/quarantine.rs
@@ -110,7 +110,10 @@
         if let Some(limit) = self.settings.crash_limit {
             return self.judge_crashes(record, limit, now);
         }
-        match record.convicted_at(since).map(|at| (at + self.settings.refusal_time).saturating_sub(now)) {
+        match record
+            .convicted_at(since)
+            .map(|at| (at + self.settings.refusal_time).saturating_sub(now))
+        {
             Some(left) if !left.is_zero() => QuarantineVerdict::Refused(left),
             _ if record.is_suspect(since) => QuarantineVerdict::TryAlone,
             _ => QuarantineVerdict::Clear,
@@ -218,8 +221,11 @@
         if excess == 0 {
             return;
         }
-        let mut ages: Vec<_> =
-            self.records.values().map(|record| (record.last_crash_at(), record.fingerprint)).collect();
+        let mut ages: Vec<_> = self
+            .records
+            .values()
+            .map(|record| (record.last_crash_at(), record.fingerprint))
+            .collect();
         ages.sort_unstable();
         for (_, fingerprint) in ages.into_iter().take(excess) {
             self.records.remove(&fingerprint);
--- a/components/decide/src/retrying.rs
+++ b/components/decide/src/retrying.rs
@@ -63,16 +63,16 @@
     /// Attempts that no server took in, and that are made again elsewhere without drawing on the
     /// budget. Default 0. Such an attempt costs the fleet a message and a server nothing.
     pub free_moves: u8,
-    /// Whether a request that may repeat is sent again after a server has failed it, while its goal can
-    /// be met. Default yes.
+    /// Whether a request that may repeat is sent again after a server has failed it, while its goal
+    /// can be met. Default yes.
     pub again_after_failure: bool,
     /// Delay before a retry.
     pub backoff: BackoffSettings,
 }
 
-/// Part of the retries, as a divisor, that may go to requests which a server has failed. A server that
-/// fails a request has run it, and the calls that it made for it are made again: at a service that others
-/// mostly call, they are many beside its own requests.
+/// Part of the retries, as a divisor, that may go to requests which a server has failed. A server
+/// that fails a request has run it, and the calls that it made for it are made again: at a service
+/// that others mostly call, they are many beside its own requests.
 const FAILURE_RETRY_DIVISOR: u64 = 4;
 
 impl RetrySettings {
@@ -155,7 +155,9 @@
     pub fn take(&self, now: Duration) -> bool {
         self.pay_floor(now);
         self.tokens
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |tokens| tokens.checked_sub(RETRY_COST))
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |tokens| {
+                tokens.checked_sub(RETRY_COST)
+            })
             .is_ok()
     }
 
--- a/components/decide/src/seeking.rs
+++ b/components/decide/src/seeking.rs
@@ -1,21 +1,22 @@
 //! Looking for a server that has a slot free, and queueing where none has.
 //!
-//! Made for a service whose servers are mostly full for moments. First the request looks for a free slot,
-//! at one endpoint after the other, and is refused at once where there is none; after a few looks it
-//! queues where it is expected to be answered first.
+//! Made for a service whose servers are mostly full for moments. First the request looks for a free
+//! slot, at one endpoint after the other, and is refused at once where there is none; after a few
+//! looks it queues where it is expected to be answered first.
 
 use std::time::Duration;
 
 use crate::placing::{EndpointId, PlacementOrder};
 
-/// Looks for a free slot before a request queues. Where most servers are full, each further look costs
-/// two daemons a message at the very time at which they have none to spare: with 39 servers of a service
-/// a request would go round all of them. Those that are looked at are the best by what is known.
+/// Looks for a free slot before a request queues. Where most servers are full, each further look
+/// costs two daemons a message at the very time at which they have none to spare: with 39 servers
+/// of a service a request would go round all of them. Those that are looked at are the best by what
+/// is known.
 const MAX_FREE_SLOT_ATTEMPTS: usize = 4;
-/// Part of a request's response-time goal, as a divisor, that being refused may take before it looks no
-/// further. Refusals of sound daemons take a few milliseconds. Where they take long, processors or links
-/// are full, and every further look makes them fuller: the fleet asks more the less it can answer, and
-/// stays so when what began it is over.
+/// Part of a request's response-time goal, as a divisor, that being refused may take before it
+/// looks no further. Refusals of sound daemons take a few milliseconds. Where they take long,
+/// processors or links are full, and every further look makes them fuller: the fleet asks more the
+/// less it can answer, and stays so when what began it is over.
 const MAX_REFUSED_DIVISOR: u32 = 8;
 
 /// Which endpoints a request is placed among.
@@ -41,11 +42,13 @@
 }
 
 impl SlotSearch {
-    /// Returns whether the next attempt looks for a free slot. Work that `may_queue_at_once` never does: a
-    /// large answer is worth a wait near by, and a body that can be sent once only must not be spent on
-    /// a look.
+    /// Returns whether the next attempt looks for a free slot. Work that `may_queue_at_once` never
+    /// does: a large answer is worth a wait near by, and a body that can be sent once only must not
+    /// be spent on a look.
     pub fn wants_slot(&self, order: PlacementOrder, may_queue_at_once: bool) -> bool {
-        order == PlacementOrder::Soonest && !may_queue_at_once && self.phase == SearchPhase::FreeSlot
+        order == PlacementOrder::Soonest
+            && !may_queue_at_once
+            && self.phase == SearchPhase::FreeSlot
     }
 
     /// Returns the endpoints that are left out.
@@ -58,8 +61,8 @@
         self.tried.push(id);
     }
 
-    /// Leaves an endpoint out that has no slot free, and goes on to queue after enough of them, or when
-    /// they have taken long beside the request's response-time goal.
+    /// Leaves an endpoint out that has no slot free, and goes on to queue after enough of them, or
+    /// when they have taken long beside the request's response-time goal.
     pub fn note_busy(&mut self, id: EndpointId, took: Duration, goal: Option<Duration>) {
         self.busy.push(id);
         self.note_refused(took);
--- a/components/decide/src/transferring.rs
+++ b/components/decide/src/transferring.rs
@@ -1,11 +1,12 @@
 //! Which large bodies go over an instance's link at once, answers out of it and uploads into it.
 //!
-//! Made for a link that is slower than the server beside it: documents of a quarter of a megabyte on
-//! 18 Mbit/s. Sent all at once, each takes as long as all of them, nobody's is there in time, and a
-//! short answer that another request waits for stands behind a quarter of a second of documents. One
-//! after the other, the first ones are in time, and the link carries just as many.
+//! Made for a link that is slower than the server beside it: documents of a quarter of a megabyte
+//! on 18 Mbit/s. Sent all at once, each takes as long as all of them, nobody's is there in time,
+//! and a short answer that another request waits for stands behind a quarter of a second of
+//! documents. One after the other, the first ones are in time, and the link carries just as many.
 //!
-//! A receiver that takes nothing must not hold the others up, so a turn lapses when it stands still.
+//! A receiver that takes nothing must not hold the others up, so a turn lapses when it stands
+//! still.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -22,9 +23,9 @@
 /// Bodies sent at once. Two, so that the link has bytes while one of them waits for its receiver's
 /// acknowledgements; more only makes each take longer.
 const MAX_SENDING: usize = 2;
-/// Time without a byte after which a turn lapses. Above a round trip over a link whose queue is full,
-/// or a full link would let more and more answers have turns; below what callers would notice when a
-/// receiver is gone.
+/// Time without a byte after which a turn lapses. Above a round trip over a link whose queue is
+/// full, or a full link would let more and more answers have turns; below what callers would notice
+/// when a receiver is gone.
 const STALL_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Whether a body may go on.
@@ -46,7 +47,8 @@
     began_at: Option<Duration>,
 }
 
-/// The large bodies that go one way over one instance's link. `now` is the time since any fixed start.
+/// The large bodies that go one way over one instance's link. `now` is the time since any fixed
+/// start.
 #[derive(Clone, Debug, Default)]
 pub struct TransferQueue {
     open: SlotMap<TransferId, OpenTransfer>,
@@ -95,7 +97,11 @@
         // Bounded by the requests that a guard takes at once.
         let coming = self.open.len() as u32;
         let before = (coming + 1).saturating_sub(MAX_SENDING as u32);
-        LinkAhead { wait: transfer_time * before / MAX_SENDING as u32, takes: transfer_time, coming }
+        LinkAhead {
+            wait: transfer_time * before / MAX_SENDING as u32,
+            takes: transfer_time,
+            coming,
+        }
     }
 
     /// Ends a body, whether it was sent whole or its receiver left.
--- a/components/decide/src/trip.rs
+++ b/components/decide/src/trip.rs
@@ -1,25 +1,25 @@
 //! How long messages of other daemons have been on their way.
 //!
-//! Made for a link on which more bytes wait than it carries in a caller's time. What comes over it left
-//! its daemon long ago: the time that it says it has left is gone, its caller may be too, and word of
-//! that stands behind it on the same link. Taken at its word, a call of 400 ms that was on its way for
-//! 700 ms was run for nobody.
+//! Made for a link on which more bytes wait than it carries in a caller's time. What comes over it
+//! left its daemon long ago: the time that it says it has left is gone, its caller may be too, and
+//! word of that stands behind it on the same link. Taken at its word, a call of 400 ms that was on
+//! its way for 700 ms was run for nobody.
 //!
-//! The clocks of two daemons have nothing to do with each other, but their difference is constant. The
-//! least difference between arrival and departure is that of the fastest message, and whatever another
-//! message shows beyond it was spent on the way.
+//! The clocks of two daemons have nothing to do with each other, but their difference is constant.
+//! The least difference between arrival and departure is that of the fastest message, and whatever
+//! another message shows beyond it was spent on the way.
 //!
 //! Before the first message there is the opening of its connection. It began at a known time of the
-//! sender's clock and was seen here, which makes it a message as well; and it went over the same link
-//! both ways, so that what follows it closely takes about as long as it took.
+//! sender's clock and was seen here, which makes it a message as well; and it went over the same
+//! link both ways, so that what follows it closely takes about as long as it took.
 
 use std::{collections::HashMap, time::Duration};
 
 /// Names the clock of one process of a daemon.
 pub type ClockId = u64;
 
-/// Part by which two clocks may drift apart, in millionths: quartz clocks are within a hundred of true
-/// time. A least difference that was never let rise would count the drift as time on the way.
+/// Part by which two clocks may drift apart, in millionths: quartz clocks are within a hundred of
+/// true time. A least difference that was never let rise would count the drift as time on the way.
 const DRIFT_PER_MILLION: i64 = 200;
 /// Clocks that are remembered: several times the daemons of a large fleet, since each restart makes
 /// another. All are forgotten at once and learnt again from the next message of each.
@@ -61,8 +61,9 @@
 
 impl TripClocks {
     /// Records a message that left at `sent_at` by its sender's clock and arrived at `now` by this
-    /// one's, and gives how much longer it was on its way than the fastest one. Both clocks have to go
-    /// on while an instance is suspended, or its messages would count as late by that time from then on.
+    /// one's, and gives how much longer it was on its way than the fastest one. Both clocks have to
+    /// go on while an instance is suspended, or its messages would count as late by that time from
+    /// then on.
     pub fn note(&mut self, clock: ClockId, sent_at: Duration, now: Duration) -> Duration {
         let micros = signed_micros(now) - signed_micros(sent_at);
         let first = ClockOffset { micros, seen_at: now, opening: None };
