--- a/components/decide/src/deadline.rs
+++ b/components/decide/src/deadline.rs
@@ -1,8 +1,8 @@
-//! Deadlines and the hop bound, carried through nested calls.
+//! Deadlines and the limit on hops, carried through nested calls.
 //!
 //! A call travels with the time it has *left*, never with an absolute time: the clocks of two
 //! instances differ, and a deadline read on a slow clock would let work run for a caller that has
-//! gone. Each hop takes off what it spent and what the answer needs for its way back.
+//! gone. Each hop takes off the time that it spent and the time that the answer needs to return.
 
 use std::time::Duration;
 
@@ -11,23 +11,24 @@
 /// Depth of the deepest call graph in use.
 pub const CALL_DEPTH: u8 = 7;
 /// Most hops a call may take. Two more than [`CALL_DEPTH`], so that a call graph may grow by a
-/// layer without a release here, while a routing loop ends after nine calls and not at its
+/// layer without a release of this proxy, while a routing loop ends after nine calls and not at its
 /// deadline with thousands in flight.
 pub const HOP_LIMIT: u8 = CALL_DEPTH + 2;
-/// Time kept back at each hop for the answer's way: a round trip between data centres of a region.
-/// Without it a server finishes just in time for an answer that arrives late, and its work is lost.
+/// Time reserved at each hop for the return of the answer: a round trip between data centres of a
+/// region. Without it a server finishes just in time for an answer that arrives late, and its work
+/// is lost.
 pub const RETURN_MARGIN: Duration = Duration::from_millis(1);
-/// Shortest time worth sending a call with. Less than this passes on the network alone.
+/// Shortest time left with which a call is sent on. Less than this passes on the network alone.
 pub const MIN_REMAINING: Duration = Duration::from_millis(2);
 
-/// Time after the deadline for which the daemon beside a server waits for its last word. A server
-/// stops at the same deadline and says so; cut off a moment before, it could not.
+/// Time after the deadline for which the daemon beside a server waits for the server's last answer.
+/// A server stops at the same deadline and reports that; cut off a moment before, it could not.
 pub const GUARD_GRACE: Duration = Duration::from_millis(40);
-/// Time after the deadline for which the daemon of entry waits for the other one's word, which may
-/// be that nothing ran. Twice [`GUARD_GRACE`]: a round trip and a busy core.
+/// Time after the deadline for which the daemon of entry waits for the answer of the daemon beside
+/// the server, which may be that nothing ran. Twice [`GUARD_GRACE`]: a round trip and a busy core.
 pub const ENTRY_GRACE: Duration = Duration::from_millis(80);
 /// Time after the deadline for the rest of an answer whose head came in time. Work that is done is
-/// delivered; only an answer that has stopped to come is cut.
+/// delivered; an answer is cut off only if no more of it comes.
 pub const BODY_GRACE: Duration = Duration::from_secs(2);
 
 /// What a call carries from hop to hop.
@@ -37,11 +38,11 @@
     pub remaining: Duration,
     /// Hops taken so far, zero at the first daemon.
     pub hops: u8,
-    /// Retries that layers above this one are in, see [`crate::retrying`].
+    /// Retries that the layers above this one are making, see [`crate::retrying`].
     pub retried_above: u8,
 }
 
-/// Why a call goes no further.
+/// Why a call may take no further hop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DescendError {
     /// The call has taken [`HOP_LIMIT`] hops, most likely in a routing loop.
@@ -53,18 +54,18 @@
 }
 
 impl CallContext {
-    /// Returns the context of a call that arrives without one.
+    /// Creates the context of a call that arrives without one.
     pub fn fresh(deadline: Duration) -> Self {
         Self { remaining: deadline, hops: 0, retried_above: 0 }
     }
 
-    /// Bounds the remaining time by the deadline of the route, whichever is nearer.
+    /// Limits the remaining time to the deadline of the route, if that is nearer.
     #[must_use]
     pub fn bounded_by(self, deadline: Duration) -> Self {
         Self { remaining: self.remaining.min(deadline), ..self }
     }
 
-    /// Returns the time left after `elapsed` at this hop, less the way back.
+    /// Returns the time left after `elapsed` at this hop, less the return of the answer.
     pub fn left_after(&self, elapsed: Duration) -> Duration {
         self.remaining.saturating_sub(elapsed).saturating_sub(RETURN_MARGIN)
     }
--- a/components/decide/src/fetch_gate.rs
+++ b/components/decide/src/fetch_gate.rs
@@ -1,11 +1,11 @@
-//! A cap on concurrent fetches at whoever serves them, for reconnect storms.
+//! A cap on concurrent fetches at the daemon that serves them, against reconnect storms.
 //!
-//! Made for hundreds of daemons that return at once after a failure and all fetch the whole
-//! configuration. Served together each gets a sliver of the link, all time out and all start again,
-//! so that none ever finishes. The gate serves a few to their end and sends the others away, each
-//! with a turn of its own after the turns already given. Drawing from a window that grows with the
-//! number sent away was measured too: it counts those who return in vain a second time, and took
-//! more than twice the ideal time.
+//! Hundreds of daemons can return at once after a failure and all fetch the whole configuration.
+//! Served together each gets a sliver of the link, all time out and all start again, so that none
+//! ever finishes. The gate serves a few to their end and sends the others away, each with a time of
+//! its own to return after those already assigned. A time drawn from a window that grows with the
+//! number sent away takes more than twice the ideal time, since that number counts those who return
+//! in vain a second time.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 pub struct GateSettings {
     /// Fetches served at once. Default 8: a few hide each other's latency, more only share a link.
     pub limit: u32,
-    /// Time one fetch is taken to last before any was measured. Default 20 ms.
+    /// Time that a fetch is assumed to take before any was measured. Default 20 ms.
     pub expected: Duration,
     /// Longest time for which a client is sent away. Default 4 s: within the 11 s in which a change
     /// must be in force. Clients beyond it are spread over its second half and ask again.
@@ -34,7 +34,7 @@
 /// Whether a fetch may start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GateVerdict {
-    /// Start now; [`FetchGate::leave`] follows when it ends.
+    /// Start now; [`FetchGate::leave`] must be called when it ends.
     Start,
     /// Come back after this time.
     RetryAfter(Duration),
@@ -46,7 +46,7 @@
     settings: GateSettings,
     active: u32,
     mean: Duration,
-    /// Time of the last turn given.
+    /// Latest return time that was assigned.
     last_return_at: Duration,
 }
 
@@ -69,7 +69,8 @@
     /// Records that a fetch ended after `took`, with or without success.
     pub fn leave(&mut self, took: Duration) {
         self.active = self.active.saturating_sub(1);
-        // Weight one eighth: follows a change of snapshot size within some ten fetches.
+        // With a weight of one eighth the mean follows a change of snapshot size within some ten
+        // fetches.
         self.mean = (self.mean * 7 + took) / 8;
     }
 
@@ -78,9 +79,10 @@
         self.active
     }
 
-    /// Returns the wait until the next turn that is not taken. Turns are given out at nine tenths
-    /// of the rate at which fetches end, since at the full rate chance alone makes many return in
-    /// vain. The jitter of one fetch keeps the returns from falling on the ends of those before.
+    /// Returns the wait until the next return time that is not assigned. Return times are assigned
+    /// at nine tenths of the rate at which fetches end, since at the full rate chance alone makes
+    /// many return in vain. The jitter of one fetch keeps the returns from falling on the ends of
+    /// the fetches before.
     fn next_return_wait(&mut self, now: Duration, rng: &mut (impl Rng + ?Sized)) -> Duration {
         let step = self.mean * 10 / (9 * self.settings.limit.max(1));
         let return_at = self.last_return_at.max(now) + step;
--- a/components/decide/src/idling.rs
+++ b/components/decide/src/idling.rs
@@ -1,26 +1,27 @@
 //! How long a connection may have been idle for a request to be sent on it.
 //!
-//! Made for servers that forget idle connections without a word, and sooner than they say. Whatever
-//! is sent next is reset. A request that may repeat is then sent again and costs a round trip; one
-//! that may run once only is lost, since nobody can tell a reset before its run from one after it.
+//! Some servers drop idle connections silently, and sooner than they announce. Whatever is sent
+//! next is reset. A request that may repeat is then sent again and costs a round trip; one that may
+//! run once only is lost, since nobody can tell a reset before its run from one after it. Each such
+//! reset therefore lowers the idle time that is trusted, for a while.
 
 use std::time::Duration;
 
-/// Longest idle time. Servers commonly close theirs after 5 s; a request sent at that very moment
-/// would be lost with an outcome that nobody knows.
+/// Longest idle time. Servers commonly close their connections after 5 s; a request sent at that
+/// very moment would be lost with an unknown outcome.
 pub const IDLE_LIMIT: Duration = Duration::from_secs(4);
 /// Longest idle time for a request that may run once only. A busy server's connections wait for
-/// some tens of milliseconds; one that has waited for longer is opened anew, which costs a
-/// millisecond.
+/// some tens of milliseconds; in place of one that has waited for longer a new one is opened, which
+/// costs a millisecond.
 const RUN_ONCE_IDLE_LIMIT: Duration = Duration::from_millis(250);
-/// Idle time from which a reset is put down to it. On a connection that was in use just now it is
-/// the server's choice or its death, and says nothing of idle ones: with them counted, a server
-/// that lost answers got a new connection for nearly each request.
+/// Shortest idle time that a reset is attributed to. On a connection that was in use just now a
+/// reset is the server's choice or its death, and says nothing of idle ones: with such resets
+/// counted, a server that lost answers got a new connection for nearly each request.
 pub const STALE_LEAST: Duration = Duration::from_millis(100);
-/// Time in which a limit that was lowered doubles.
+/// Time in which a lowered limit doubles.
 const LIMIT_DOUBLING_TIME: Duration = Duration::from_secs(5);
 
-/// What is trusted of one server's connections.
+/// Limit on the idle time of one server's connections.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct IdleTrust {
     /// A lowered limit, and when it was lowered.
@@ -34,13 +35,15 @@
         let lowered = self.lowered.map(|(limit, at)| {
             let doublings =
                 now.saturating_sub(at).as_secs_f64() / LIMIT_DOUBLING_TIME.as_secs_f64();
-            // Far beyond the usual limit after a minute; bounded for the sake of the factor.
+            // After a minute the limit is far beyond the usual one; the bound keeps the factor
+            // finite.
             limit.mul_f64(doublings.min(20.0).exp2())
         });
         lowered.map_or(usual, |lowered| lowered.min(usual))
     }
 
-    /// Records that a connection which had been idle for a time was found dead.
+    /// Records that a connection which had been idle for `idle` was found dead, and lowers the
+    /// limit to half of that.
     pub fn note_stale(&mut self, idle: Duration, now: Duration) {
         if idle < STALE_LEAST {
             return;
--- a/components/decide/src/pacing.rs
+++ b/components/decide/src/pacing.rs
@@ -1,8 +1,8 @@
 //! Opening connections to a server, paced and within its limit.
 //!
-//! Made for the moment after a restart: hundreds of requests wait and each would open a connection
-//! at once. A server needs about a millisecond for each, so the burst would hold up the requests
-//! that already run, and connections past its limit are reset, which looks like a failing server.
+//! After a restart hundreds of requests wait and each would open a connection at once. A server
+//! needs about a millisecond for each, so the burst would delay the requests that already run, and
+//! connections past its limit are reset, which looks like a failing server.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 /// Whether a connection may be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectVerdict {
-    /// Open it now. It counts until [`ConnectPacer::closed`].
+    /// Open it now. It counts as open until [`ConnectPacer::closed`] is called.
     Open,
     /// Ask again after this time.
     Wait(Duration),
--- a/components/decide/src/placing/soonest.rs
+++ b/components/decide/src/placing/soonest.rs
@@ -18,8 +18,8 @@
 //! 2. By region (`OTHER_REGION_PENALTY`). A request does not leave the region to save a wait.
 //! 3. By data centre, where the answer is in time (`IN_TIME_REGION_PENALTY`). Bytes do not cross
 //!    between data centres for an answer that would be in time without it.
-//! 4. By failures beyond those of the peers (the goal, or `FAILURE_PENALTY`). A near, quick server
-//!    does not attract requests that it is likely to fail.
+//! 4. By failures beyond those of the peers (the goal, or `FAILURE_PENALTY`). A quick server does
+//!    not attract requests that it is likely to fail.
 //! 5. By data centre, where the answer is late (`LATE_LONG_REGION_PENALTY`, `LATE_REGION_PENALTY`).
 //!    A late answer crosses between data centres only where it comes sooner by more than the
 //!    crossing costs.
--- a/components/decide/src/quarantine.rs
+++ b/components/decide/src/quarantine.rs
@@ -1,14 +1,14 @@
-//! Requests that crash their server, held back by fingerprint.
+//! Quarantine of requests that crash their server, identified by fingerprint.
 //!
-//! Made for a single request that crashes each server that runs it, while its caller sends it
-//! again: without a check it takes a service of five servers down in five sends, and all requests
-//! in flight beside it each time.
+//! A single request can crash each server that runs it, while its caller sends it again: without a
+//! check it takes a service of five servers down in five sends, and all requests in flight beside
+//! it each time.
 //!
 //! A crash makes suspects of all requests in flight, since nothing tells them apart yet. A suspect
-//! runs again only *alone* on its server, as a trial. A server that dies under a trial convicts it:
-//! nothing else was running, so no innocent neighbour can be convicted, however many crashes it was
-//! near. A success after the crash clears it. A convicted request is refused for a set time; then
-//! its next run is a trial again, which harms no neighbour.
+//! runs again only *alone* on its server, as a trial. A server that dies under a trial convicts the
+//! request: nothing else was running, so no innocent request can be convicted, however many crashes
+//! it was near. A success after the crash clears it. A convicted request is refused for a set time;
+//! then its next run is a trial again, which harms no other request.
 //!
 //! Evidence is a grow-only set with a total order, so tables of two daemons merge to the same table
 //! in any order and any number of times.
@@ -34,15 +34,15 @@
     /// How long a convicted request is refused. Default 10 min: a resend costs one server at most
     /// six times an hour, and a repaired service takes the request again soon.
     pub refusal_time: Duration,
-    /// How long evidence is kept. Default 1 h: a caller's resend of an hour later is still tried
-    /// alone. At least `refusal_time`.
+    /// How long evidence is kept. Default 1 h, so that a request which its caller sends again an
+    /// hour later still runs alone. At least `refusal_time`.
     pub evidence_life: Duration,
     /// Requests kept at most. Default 1024, about 200 KB: two crashes a day leave some 24 each.
     pub capacity: usize,
     /// Crashes with a request in flight, without a success since, after which it is refused.
     /// Default none: a suspect runs alone instead. To run one alone, a server must be emptied, and
-    /// where work takes a quarter of a second and all slots are in use, that costs a dozen
-    /// requests for each suspect; a second or third crash tells almost as much.
+    /// where work takes a quarter of a second and all slots are in use, that costs a dozen requests
+    /// for each suspect; a second or third crash shows almost as much.
     pub crash_limit: Option<u32>,
 }
 
@@ -60,20 +60,20 @@
 /// How a request may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineVerdict {
-    /// Run as any other.
+    /// Run it as any other.
     Clear,
-    /// Run with nothing else on the server.
+    /// Run it with nothing else on the server.
     TryAlone,
-    /// Do not run; the time after which it may be tried again.
+    /// Do not run it; the time after which it may be tried again.
     Refused(Duration),
 }
 
-/// A server's death, as the daemon beside it saw it.
+/// Crash of a server, as the daemon beside it observed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CrashReport<'a> {
-    /// Which crash it is.
+    /// Identifies the crash.
     pub occasion: OccasionId,
-    /// When, since the Unix epoch.
+    /// Time of the crash since the Unix epoch.
     pub at: Duration,
     /// Requests in flight on the server.
     pub in_flight: &'a [Fingerprint],
@@ -81,14 +81,14 @@
     pub is_trial: bool,
 }
 
-/// Suspects and convicted requests. `now` is the time since the Unix epoch here, because evidence
+/// Suspect and convicted requests. `now` is the time since the Unix epoch here, because evidence
 /// travels between daemons; a clock that is off by a second moves expiry by a second.
 #[derive(Clone, Debug)]
 pub struct QuarantineTable {
     settings: QuarantineSettings,
     records: HashMap<Fingerprint, SuspectRecord>,
     successes: SuccessCache,
-    /// Requests whose record changed since it was last taken for other daemons.
+    /// Requests whose record changed since the changes were last taken for other daemons.
     changed: BTreeSet<Fingerprint>,
 }
 
@@ -169,7 +169,7 @@
         self.shrink();
     }
 
-    /// Drops what is older than the settings keep.
+    /// Drops the records without evidence that is still kept.
     pub fn expire(&mut self, now: Duration) {
         let since = now.saturating_sub(self.settings.evidence_life);
         self.records.retain(|_, record| record.last_crash_at() >= since);
@@ -177,7 +177,7 @@
     }
 
     /// Returns the records that changed since the last call, to be sent to other daemons. A merge
-    /// that brings nothing new changes nothing, so an exchange between daemons comes to rest.
+    /// that brings nothing new changes nothing, so an exchange between daemons comes to an end.
     pub fn take_changed(&mut self) -> Vec<SuspectRecord> {
         let changed = std::mem::take(&mut self.changed);
         changed.iter().filter_map(|fingerprint| self.records.get(fingerprint)).cloned().collect()
@@ -189,24 +189,25 @@
         ordered.into_values().cloned().collect()
     }
 
-    /// Returns the number of records held.
+    /// Returns the number of records.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Returns whether no record is held.
+    /// Returns whether there is no record.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
+    /// Merges one record, clears it by the last success known here, and notes whether it changed.
     fn merge_record(&mut self, other: &SuspectRecord) {
         let fingerprint = other.fingerprint;
         let record =
             self.records.entry(fingerprint).or_insert_with(|| SuspectRecord::new(fingerprint));
         let before = record.clone();
         record.merge(other);
-        // A much used request has often succeeded elsewhere by the time the crash is heard of.
-        // Without this each of its copies would wait for an empty server.
+        // A frequent request has often succeeded here by the time that a crash elsewhere is
+        // reported. Without this each of its copies would wait for an empty server.
         if let Some(at) = self.successes.last(fingerprint) {
             record.clear_before(at);
         }
--- a/components/decide/src/quarantine/record.rs
+++ b/components/decide/src/quarantine/record.rs
@@ -4,8 +4,8 @@
 
 use crate::quarantine::{Fingerprint, OccasionId};
 
-/// Crashes kept for one request. Two decide; two more keep them through a merge with a daemon that
-/// saw others.
+/// Crashes kept for one request. Two decide; two more keep these two through a merge with a daemon
+/// that saw others.
 const MAX_EVIDENCE: usize = 4;
 
 /// What was in flight at a crash, from weak to strong evidence.
@@ -22,9 +22,9 @@
 /// One crash with the request in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CrashEvidence {
-    /// When, since the Unix epoch.
+    /// Time since the Unix epoch.
     pub at: Duration,
-    /// Which crash it was.
+    /// Identifies the crash.
     pub occasion: OccasionId,
     /// What was in flight beside it.
     pub kind: CrashKind,
@@ -63,8 +63,9 @@
         self.evidence.drain(..excess);
     }
 
-    /// Clears crashes before `at`. Trials stay: a request that crashed its server alone is no less
-    /// harmful for succeeding now and then. Returns whether any crash was cleared by it.
+    /// Clears the request of crashes before `at`. Trials stay: a request that crashed its server
+    /// alone is no less harmful for succeeding now and then. Returns whether any crash was cleared
+    /// by it.
     pub fn clear_before(&mut self, at: Duration) -> bool {
         let mut has_changed = false;
         for evidence in &mut self.evidence {
@@ -80,8 +81,8 @@
         self.evidence.iter().map(|evidence| evidence.at).max().unwrap_or_default()
     }
 
-    /// Returns the time of the crash that convicted the request, if one since `since` did: a trial,
-    /// or the second crash in which it was alone by chance.
+    /// Returns the time of the crash since `since` that convicted the request, if any: a trial, or
+    /// the second crash in which it was alone by chance.
     pub fn convicted_at(&self, since: Duration) -> Option<Duration> {
         let mut alone = 0;
         self.uncleared(since)
@@ -97,16 +98,17 @@
             .last()
     }
 
-    /// Counts the crashes since `since` that stand against the request.
+    /// Returns the number of crashes since `since` that count against the request.
     pub fn crash_count(&self, since: Duration) -> usize {
         self.uncleared(since).count()
     }
 
-    /// Returns whether any crash since `since` stands against the request.
+    /// Returns whether any crash since `since` counts against the request.
     pub fn is_suspect(&self, since: Duration) -> bool {
         self.uncleared(since).next().is_some()
     }
 
+    /// Returns the crashes since `since` that no success has cleared.
     fn uncleared(&self, since: Duration) -> impl Iterator<Item = &CrashEvidence> {
         self.evidence.iter().filter(move |evidence| !evidence.is_cleared && evidence.at >= since)
     }
--- a/components/decide/src/quarantine/successes.rs
+++ b/components/decide/src/quarantine/successes.rs
@@ -4,12 +4,12 @@
 
 use crate::quarantine::Fingerprint;
 
-/// Cells of the cache, a power of two. 24 KB; a request that is in flight at a crash by sheer
-/// frequency is among the most frequent, and those keep their cells.
+/// Cells of the cache, a power of two; they take 24 KB. A request that is in flight at a crash by
+/// sheer frequency is among the most frequent, and those keep their cells.
 const CELLS: usize = 1024;
 
-/// A direct-mapped cache from request to its last success. A collision forgets the older one, whose
-/// request is then tried alone once more than needed.
+/// A direct-mapped cache from request to its last success. A collision drops the older one, whose
+/// request then runs alone once more than needed.
 #[derive(Clone, Debug)]
 pub(super) struct SuccessCache {
     cells: Box<[(Fingerprint, Duration)]>,
@@ -22,12 +22,12 @@
 }
 
 impl SuccessCache {
-    /// Remembers a success at `at`.
+    /// Stores a success at `at`.
     pub(super) fn insert(&mut self, fingerprint: Fingerprint, at: Duration) {
         self.cells[cell_of(fingerprint)] = (fingerprint, at);
     }
 
-    /// Returns the last success that is remembered.
+    /// Returns the time of the last success of a request, if it is in the cache.
     pub(super) fn last(&self, fingerprint: Fingerprint) -> Option<Duration> {
         let (stored, at) = self.cells[cell_of(fingerprint)];
         (stored == fingerprint && !at.is_zero()).then_some(at)
--- a/components/decide/src/retrying.rs
+++ b/components/decide/src/retrying.rs
@@ -1,8 +1,8 @@
 //! Whether a failed attempt is tried again.
 //!
-//! Made for the minutes after a failure, when every layer of a nested call sees errors. If each of
-//! seven layers retries twice, one call becomes 3^7 = 2187 at the bottom and keeps the failed
-//! service down. Three bounds prevent it:
+//! In the minutes after a failure every layer of a nested call sees errors. If each of seven layers
+//! retries twice, one call becomes 3^7 = 2187 at the bottom and keeps the failed service down.
+//! Three limits prevent it:
 //!
 //! - A budget per service: retries are at most a tenth of recent traffic, plus a small floor.
 //! - One layer at a time: a call carries the retries of the layers above it
@@ -21,22 +21,23 @@
 
 use crate::backoff::BackoffSettings;
 
-/// One retry, in the budget's thousandths.
+/// Cost of a retry, in the thousandths that the budget counts.
 const RETRY_COST: u64 = 1000;
 
 /// Whether an attempt ran on a server.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// No byte can have reached the server, or its guard says it did not pass the request on.
+    /// No byte can have reached the server, or its guard reports that it did not pass the request
+    /// on.
     #[display("not-run")]
     NotRun,
-    /// A server got it and said that it did not run it.
+    /// A server got it and reported that it did not run it.
     #[display("turned-away")]
     TurnedAway,
     /// The server ran it and its answer is a failure.
     #[display("ran")]
     Ran,
-    /// It cannot be known.
+    /// Whether it ran cannot be known.
     #[display("unknown")]
     Unknown,
 }
@@ -47,20 +48,20 @@
     /// Retries a request may have at one layer. Default 2: with a fifth of the servers down, three
     /// independent placements fail in fewer than 1 % of cases.
     pub max_retries: u8,
-    /// Thousandths of a retry that each first attempt pays in. Default 100, a tenth of traffic:
+    /// Thousandths of a retry that each first attempt pays in. Default 100, a tenth of traffic: it
     /// covers the daily failures and adds no more than a tenth to a service in trouble.
     pub deposit: u64,
-    /// Thousandths of a retry paid in per second without traffic. Default 1000, so that a service
-    /// with a call a minute can still retry.
+    /// Thousandths of a retry paid in per second whatever the traffic. Default 1000, so that a
+    /// service with a call a minute can still retry.
     pub floor: u64,
-    /// Thousandths the budget can hold. Default 20 000: the burst when one server of five goes
-    /// with its 12 slots in use.
+    /// Most thousandths in the budget. Default 20 000: the burst when one server of five goes with
+    /// its 12 slots in use.
     pub cap: u64,
-    /// Whether the cap and the floor are those of the whole fleet, of which each daemon holds its
-    /// part. Default no. Without it, a hundred daemons that lose a server at one moment send it a
+    /// Whether the cap and the floor are those of the whole fleet, of which each daemon has its
+    /// part. Default no. Without it, a hundred daemons that lose a server at one moment send a
     /// hundred times the retries that one may.
     pub is_shared: bool,
-    /// Attempts that no server took in, and that are made again elsewhere without drawing on the
+    /// Attempts that no server accepted, and that are made again elsewhere without drawing on the
     /// budget. Default 0. Such an attempt costs the fleet a message and a server nothing.
     pub free_moves: u8,
     /// Whether a request that may repeat is sent again after a server has failed it, while its goal
@@ -70,13 +71,14 @@
     pub backoff: BackoffSettings,
 }
 
-/// Part of the retries, as a divisor, that may go to requests which a server has failed. A server
-/// that fails a request has run it, and the calls that it made for it are made again: at a service
-/// that others mostly call, they are many beside its own requests.
+/// Divisor of the budget for requests that a server has failed. A server that fails a request has
+/// run it, and the calls that it made for it are made again: at a service that mostly other
+/// services call, they are many beside its own requests.
 const FAILURE_RETRY_DIVISOR: u64 = 4;
 
 impl RetrySettings {
-    /// Returns the settings of the retries after failures of servers, which are a part of all.
+    /// Returns the settings of the budget for retries after failures of servers, a part of the
+    /// whole.
     #[must_use]
     pub fn after_failures(&self) -> Self {
         Self {
@@ -130,12 +132,13 @@
         }
     }
 
-    /// Sets how many daemons there are, where they share the cap and the floor.
+    /// Sets the number of daemons among which the cap and the floor are divided, where they are
+    /// shared.
     pub fn set_fleet(&self, daemons: usize) {
         if self.settings.is_shared {
             let daemons = u64::try_from(daemons).unwrap_or(u64::MAX).max(1);
             self.fleet.store(daemons, Ordering::Relaxed);
-            // A full budget of a daemon that knew of no other one is more than its part.
+            // A budget that was filled before the other daemons were known is more than its part.
             let part = self.settings.cap / daemons;
             self.tokens.fetch_min(part.max(RETRY_COST), Ordering::Relaxed);
         }
@@ -146,12 +149,12 @@
         &self.settings
     }
 
-    /// Pays in for a first attempt. Retries pay nothing in, or they would feed themselves.
+    /// Pays in for a first attempt. Retries pay nothing in, or they would pay for further retries.
     pub fn record_attempt(&self) {
         self.pay_in(self.settings.deposit);
     }
 
-    /// Takes one retry out, or gives `false` if none is left.
+    /// Takes one retry out; returns `false` if none is left.
     pub fn take(&self, now: Duration) -> bool {
         self.pay_floor(now);
         self.tokens
@@ -161,14 +164,15 @@
             .is_ok()
     }
 
-    /// Returns the whole retries left.
+    /// Returns the number of whole retries left.
     pub fn left(&self) -> u64 {
         self.tokens.load(Ordering::Relaxed) / RETRY_COST
     }
 
+    /// Pays in thousandths, up to this daemon's part of the cap.
     fn pay_in(&self, amount: u64) {
-        // Never below one retry: a part of less could not be spent at all, and of a hundred daemons
-        // with 45 retries between them none made any, however many requests paid in.
+        // Never below one retry: a smaller part could not be spent at all, and of a hundred daemons
+        // with 45 retries between them none would make any, however many requests paid in.
         let part = self.settings.cap / self.fleet.load(Ordering::Relaxed);
         let cap = part.max(RETRY_COST.min(self.settings.cap));
         let paid = |tokens: u64| Some(tokens.saturating_add(amount).min(cap));
@@ -176,11 +180,13 @@
         let _ = self.tokens.fetch_update(Ordering::Relaxed, Ordering::Relaxed, paid);
     }
 
+    /// Pays in the floor for the time since it was last paid in.
     fn pay_floor(&self, now: Duration) {
         let now = whole_millis(now);
-        // `fetch_max` gives each millisecond to one thread only, so none is paid in twice.
+        // `fetch_max` assigns each millisecond to one thread only, so none is paid in twice.
         let before = self.paid_until.fetch_max(now, Ordering::Relaxed);
-        // A difference of totals: rounding each short step down would lose the floor whole.
+        // The amount is a difference of totals: rounding each short step down would lose the whole
+        // floor.
         let floor = self.settings.floor;
         let share = 1000 * self.fleet.load(Ordering::Relaxed);
         let total = |millis: u64| millis.saturating_mul(floor) / share;
@@ -199,7 +205,7 @@
     pub own_retries: u8,
     /// Attempts so far that were moved elsewhere without drawing on the budget.
     pub moves: u8,
-    /// Retries of layers above, as the request brought them.
+    /// Retries of layers above, as the request carried them.
     pub retried_above: u8,
     /// Time left for the request.
     pub remaining: Duration,
@@ -234,26 +240,27 @@
     /// As many servers as the route allows have had the request.
     #[error("the route allows no more servers")]
     ServersSpent,
-    /// Being refused for want of room has taken too long to ask further.
-    #[error("being refused has taken too long")]
+    /// Refusals for want of a free slot have taken too long to ask another endpoint.
+    #[error("refusals for want of a free slot have taken too long")]
     RefusedLong,
     /// No other endpoint may take it now.
     #[error("no other endpoint takes it")]
     NoEndpoint,
 }
 
-/// What becomes of a failed attempt.
+/// Decision on a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryVerdict {
     /// Try again after this time, at another endpoint.
     Retry(Duration),
-    /// Try again at once at another endpoint: no server took the attempt in.
+    /// Try again at once at another endpoint: no server accepted the attempt.
     Move,
     /// Answer with the failure.
     GiveUp(GiveUpReason),
 }
 
-/// Decides on a failed attempt. Takes from the budget only when the verdict is a retry.
+/// Decides whether a failed attempt is tried again. Takes from the budget only when the verdict is
+/// a retry.
 pub fn may_retry(
     attempt: &FailedAttempt,
     budget: &RetryBudget,
--- a/components/decide/src/transferring.rs
+++ b/components/decide/src/transferring.rs
@@ -1,12 +1,12 @@
 //! Which large bodies go over an instance's link at once, answers out of it and uploads into it.
 //!
-//! Made for a link that is slower than the server beside it: documents of a quarter of a megabyte
-//! on 18 Mbit/s. Sent all at once, each takes as long as all of them, nobody's is there in time,
-//! and a short answer that another request waits for stands behind a quarter of a second of
-//! documents. One after the other, the first ones are in time, and the link carries just as many.
+//! A link can be slower than the server beside it: documents of a quarter of a megabyte on 18
+//! Mbit/s. Sent all at once, each takes as long as all of them, none is there in time, and a short
+//! answer that another request waits for stands behind a quarter of a second of documents. One
+//! after the other, the first ones are in time, and the link carries just as many.
 //!
-//! A receiver that takes nothing must not hold the others up, so a turn lapses when it stands
-//! still.
+//! A body needs a permit to send. A receiver that takes nothing must not delay the others, so a
+//! body loses its permit when it stands still.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -23,9 +23,9 @@
 /// Bodies sent at once. Two, so that the link has bytes while one of them waits for its receiver's
 /// acknowledgements; more only makes each take longer.
 const MAX_SENDING: usize = 2;
-/// Time without a byte after which a turn lapses. Above a round trip over a link whose queue is
-/// full, or a full link would let more and more answers have turns; below what callers would notice
-/// when a receiver is gone.
+/// Time without a byte after which a body loses its permit. Above a round trip over a link whose
+/// queue is full, or a full link would let more and more answers send; below what callers would
+/// notice when a receiver is gone.
 const STALL_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Whether a body may go on.
@@ -39,32 +39,33 @@
 
 #[derive(Clone, Copy, Debug)]
 struct OpenTransfer {
-    /// When it last sent bytes, where it has a turn.
+    /// When it last sent bytes, if it has a permit.
     sent_at: Option<Duration>,
-    /// When it was told that it could have a turn, while it waits.
+    /// When it was notified that it could have a permit, while it waits.
     offered_at: Option<Duration>,
-    /// When it first had a turn.
+    /// When it first had a permit.
     began_at: Option<Duration>,
 }
 
-/// The large bodies that go one way over one instance's link. `now` is the time since any fixed
-/// start.
+/// The large bodies that cross one instance's link in one direction. `now` is the time since any
+/// fixed start.
 #[derive(Clone, Debug, Default)]
 pub struct TransferQueue {
     open: SlotMap<TransferId, OpenTransfer>,
-    /// Those without a turn, in the order in which they came.
+    /// Bodies without a permit, in the order in which they came.
     waiting: VecDeque<TransferId>,
-    /// Time from the first turn of a body to its end.
+    /// Time from the first permit of a body to its end.
     transfer_time: ServiceEstimate,
 }
 
 impl TransferQueue {
-    /// Adds a body, without a turn as yet.
+    /// Adds a body, without a permit as yet.
     pub fn begin(&mut self) -> TransferId {
         self.open.insert(OpenTransfer { sent_at: None, offered_at: None, began_at: None })
     }
 
-    /// Asks whether a body may send its next bytes at `now`.
+    /// Returns whether a body may send its next bytes at `now`. A body without a permit gets one if
+    /// it is the first that waits and few enough send.
     pub fn ask(&mut self, id: TransferId, now: Duration) -> TransferTurn {
         self.revoke_stalled(now);
         let Some(transfer) = self.open.get(id) else { return TransferTurn::Go };
@@ -84,7 +85,7 @@
         TransferTurn::Wait(STALL_TIMEOUT)
     }
 
-    /// Records how long a body took that has gone over the link whole.
+    /// Records how long a body took that has crossed the link whole.
     pub fn note_whole(&mut self, id: TransferId, now: Duration) {
         if let Some(began_at) = self.open.get(id).and_then(|transfer| transfer.began_at) {
             self.transfer_time.add(now.saturating_sub(began_at), now);
@@ -110,23 +111,24 @@
         self.waiting.retain(|waiting| *waiting != id);
     }
 
-    /// Returns a body that waits and could have a turn now, to be told so.
+    /// Returns a body that waits and could have a permit now, to be notified of it.
     pub fn next_ready(&mut self, now: Duration) -> Option<TransferId> {
         let next = self.waiting.front().copied().filter(|_| self.sending_count() < MAX_SENDING)?;
         self.open.get_mut(next)?.offered_at.get_or_insert(now);
         Some(next)
     }
 
-    /// Returns how many bodies wait for a turn.
+    /// Returns how many bodies wait for a permit.
     pub fn held_back(&self) -> usize {
         self.waiting.len()
     }
 
+    /// Returns the number of bodies with a permit.
     fn sending_count(&self) -> usize {
         self.open.values().filter(|transfer| transfer.sent_at.is_some()).count()
     }
 
-    /// Takes the turns back of those that send nothing. They ask again when their receivers take
+    /// Withdraws the permits of bodies that send nothing. They ask again when their receivers take
     /// bytes.
     fn revoke_stalled(&mut self, now: Duration) {
         for transfer in self.open.values_mut() {
@@ -134,7 +136,7 @@
                 transfer.sent_at = None;
             }
         }
-        // One whose receiver stopped while it waited does not come when it is called.
+        // A body whose receiver stopped while it waited does not ask again when it is notified.
         let first = self.waiting.front().and_then(|first| self.open.get_mut(*first));
         if let Some(first) = first
             && first.offered_at.is_some_and(|at| now.saturating_sub(at) >= STALL_TIMEOUT)
--- a/components/decide/src/trip.rs
+++ b/components/decide/src/trip.rs
@@ -1,31 +1,31 @@
-//! How long messages of other daemons have been on their way.
+//! How long messages of other daemons were in transit.
 //!
-//! Made for a link on which more bytes wait than it carries in a caller's time. What comes over it
-//! left its daemon long ago: the time that it says it has left is gone, its caller may be too, and
-//! word of that stands behind it on the same link. Taken at its word, a call of 400 ms that was on
-//! its way for 700 ms was run for nobody.
+//! More bytes can wait on a link than it carries in a caller's time. What comes over it left its
+//! daemon long ago: the time that it states as left has passed, its caller may be gone, and the
+//! message that reports this waits behind it on the same link. If the stated time were believed, a
+//! call of 400 ms that was in transit for 700 ms would be run for nobody.
 //!
-//! The clocks of two daemons have nothing to do with each other, but their difference is constant.
-//! The least difference between arrival and departure is that of the fastest message, and whatever
-//! another message shows beyond it was spent on the way.
+//! The clocks of two daemons are unrelated, but their difference is constant. The least difference
+//! between arrival and departure is that of the fastest message, and whatever another message shows
+//! beyond it was spent in transit.
 //!
 //! Before the first message there is the opening of its connection. It began at a known time of the
-//! sender's clock and was seen here, which makes it a message as well; and it went over the same
-//! link both ways, so that what follows it closely takes about as long as it took.
+//! sender's clock and was seen here, which makes it a message as well; and it crossed the same link
+//! in both directions, so that what follows it closely takes about as long as it took.
 
 use std::{collections::HashMap, time::Duration};
 
-/// Names the clock of one process of a daemon.
+/// Identifies the clock of one process of a daemon.
 pub type ClockId = u64;
 
-/// Part by which two clocks may drift apart, in millionths: quartz clocks are within a hundred of
-/// true time. A least difference that was never let rise would count the drift as time on the way.
+/// Largest drift between two clocks, in millionths: quartz clocks are within a hundred of true
+/// time. A least difference that could never rise would count the drift as time in transit.
 const DRIFT_PER_MILLION: i64 = 200;
-/// Clocks that are remembered: several times the daemons of a large fleet, since each restart makes
-/// another. All are forgotten at once and learnt again from the next message of each.
+/// Clocks that are remembered: several times the daemons of a large fleet, since each restart adds
+/// one. At the limit all are forgotten and learned again from the next message of each.
 const MAX_CLOCKS: usize = 4096;
 
-/// Time after the opening of a connection for which it tells how full the link is.
+/// Time after the opening of a connection for which it shows how full the link is.
 pub const OPENING_VALIDITY: Duration = Duration::from_secs(1);
 
 /// The opening of a connection, as the side that opened it measured it.
@@ -33,12 +33,13 @@
 pub struct LinkOpening {
     /// When it began, by that side's clock.
     pub began: Duration,
-    /// Time until the connection was there.
+    /// Time until the connection was established.
     pub took: Duration,
 }
 
 impl LinkOpening {
-    /// Returns whether a message that leaves at `sent_at`, by the same clock, closely follows it.
+    /// Returns whether a message that leaves at `sent_at`, by the same clock, closely follows the
+    /// opening.
     pub fn is_followed_by(&self, sent_at: Duration) -> bool {
         sent_at < self.began + self.took + OPENING_VALIDITY
     }
@@ -49,11 +50,11 @@
 struct ClockOffset {
     micros: i64,
     seen_at: Duration,
-    /// The opening that the clock was first heard of by, if any.
+    /// The opening that the clock was first known by, if any.
     opening: Option<LinkOpening>,
 }
 
-/// What is known of the other daemons' clocks.
+/// Offsets of the other daemons' clocks.
 #[derive(Clone, Debug, Default)]
 pub struct TripClocks {
     offsets: HashMap<ClockId, ClockOffset>,
@@ -61,9 +62,9 @@
 
 impl TripClocks {
     /// Records a message that left at `sent_at` by its sender's clock and arrived at `now` by this
-    /// one's, and gives how much longer it was on its way than the fastest one. Both clocks have to
-    /// go on while an instance is suspended, or its messages would count as late by that time from
-    /// then on.
+    /// one's, and returns how much longer it was in transit than the fastest one. Both clocks have
+    /// to go on while an instance is suspended, or its messages would count as late by that time
+    /// from then on.
     pub fn note(&mut self, clock: ClockId, sent_at: Duration, now: Duration) -> Duration {
         let micros = signed_micros(now) - signed_micros(sent_at);
         let first = ClockOffset { micros, seen_at: now, opening: None };
@@ -73,15 +74,15 @@
         offset.micros = micros.min(offset.micros + drift);
         offset.seen_at = now;
         let late = Duration::from_micros((micros - offset.micros).unsigned_abs());
-        // Nothing else tells how long the first messages of a clock were on their way.
+        // Nothing else shows how long the first messages of a clock were in transit.
         let opening = offset.opening.filter(|opening| opening.is_followed_by(sent_at));
         opening.map_or(late, |opening| late.max(opening.took))
     }
 
-    /// Records the opening of a connection that was accepted at `accepted_at`, where nothing is
-    /// known yet of the clock that it was measured by.
+    /// Records the opening of a connection that was accepted at `accepted_at`, if nothing is known
+    /// yet of the clock that it was measured by.
     ///
-    /// The time from its beginning to its acceptance is that of three trips at least. It can make
+    /// The time from its beginning to its acceptance covers three transits at least. It can make
     /// messages look faster than they were, never slower.
     pub fn note_opening(&mut self, clock: ClockId, opening: LinkOpening, accepted_at: Duration) {
         let micros = signed_micros(accepted_at) - signed_micros(opening.began);
@@ -89,7 +90,7 @@
         self.offset_or_insert(clock, first);
     }
 
-    /// Returns what is known of a clock, `first` where that is nothing.
+    /// Returns the offset of a clock, after storing `first` if it has none.
     fn offset_or_insert(&mut self, clock: ClockId, first: ClockOffset) -> &mut ClockOffset {
         if self.offsets.len() >= MAX_CLOCKS && !self.offsets.contains_key(&clock) {
             self.offsets.clear();
