--- a/components/decide/src/admitting.rs
+++ b/components/decide/src/admitting.rs
@@ -387,6 +387,7 @@
         self.estimate(class, now) * ((ahead + 1) * OVERTAKING_FACTOR) / slots.max(1)
     }
 
+    /// Returns the usual service time of a class.
     fn estimate(&self, class: WorkClass, now: Duration) -> Duration {
         self.estimates[class_index(class)].expected(now)
     }
--- a/components/decide/src/admitting/queue.rs
+++ b/components/decide/src/admitting/queue.rs
@@ -109,6 +109,8 @@
         self.drop_idle_flows();
     }
 
+    /// Returns a caller's entry, added if there is none. A new caller counts as served just now, so
+    /// that it does not go before those that wait.
     fn flow_mut(&mut self, key: FlowKey) -> &mut ActiveFlow {
         let index = self.flows.iter().position(|flow| flow.key == key).unwrap_or_else(|| {
             let (tickets, last_served) = (VecDeque::new(), self.serve_count);
@@ -118,6 +120,7 @@
         &mut self.flows[index]
     }
 
+    /// Removes the callers without a request queued or running.
     fn drop_idle_flows(&mut self) {
         self.flows.retain(|flow| flow.running > 0 || !flow.tickets.is_empty());
     }
@@ -126,6 +129,7 @@
         self.flows.iter().find(|flow| flow.key == key).map_or(0, queued_count)
     }
 
+    /// Returns the callers of a team.
     fn team(&self, team: TeamKey) -> impl Iterator<Item = &ActiveFlow> {
         self.flows.iter().filter(move |flow| flow.key.team == team)
     }
@@ -138,6 +142,7 @@
         self.team(team).map(|flow| flow.running).sum()
     }
 
+    /// Returns when a caller of the team was last served, on the count of served requests.
     fn team_last_served(&self, team: TeamKey) -> u64 {
         self.team(team).map(|flow| flow.last_served).max().unwrap_or_default()
     }
--- a/components/decide/src/admitting/release.rs
+++ b/components/decide/src/admitting/release.rs
@@ -107,6 +107,7 @@
         Admission::Queued(ticket)
     }
 
+    /// Marks a request as running, and starts a trial's exclusive time.
     fn set_running(&mut self, ticket: Ticket, now: Duration) {
         let Some(call) = self.calls.get_mut(ticket) else { return };
         call.stage = CallStage::Running(now);
@@ -117,6 +118,7 @@
         }
     }
 
+    /// Removes a request from wherever it stands, and ends its trial if it is one.
     fn remove(&mut self, ticket: Ticket) {
         let Some(call) = self.calls.remove(ticket) else { return };
         let queue = &mut self.queues[class_index(call.class)];
@@ -139,6 +141,7 @@
         }
     }
 
+    /// Removes and returns the queued request of a class that starts next.
     fn pop(&mut self, class: WorkClass, now: Duration) -> Option<Ticket> {
         let index = class_index(class);
         match self.settings.order {
@@ -154,6 +157,7 @@
         }
     }
 
+    /// Returns all requests that wait, a waiting trial among them.
     fn waiting(&self) -> impl Iterator<Item = Ticket> {
         let trial = match self.trial {
             TrialState::Waiting(ticket) => Some(ticket),
--- a/components/decide/src/placing.rs
+++ b/components/decide/src/placing.rs
@@ -297,6 +297,7 @@
         Some(PlacedCall::start(self, index, request, true, now))
     }
 
+    /// Locks out other ejections. A lock poisoned by a panic is taken all the same.
     pub(crate) fn lock_ejection(&self) -> std::sync::MutexGuard<'_, ()> {
         self.ejection_lock.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/components/decide/src/placing/call.rs
+++ b/components/decide/src/placing/call.rs
@@ -35,6 +35,7 @@
 }
 
 impl PlacedCall {
+    /// Counts a request as in flight to the endpoint at `index`.
     pub(super) fn start(
         table: &Arc<PlacementTable>,
         index: usize,
--- a/components/decide/src/placing/gauge.rs
+++ b/components/decide/src/placing/gauge.rs
@@ -51,6 +51,7 @@
 }
 
 impl EndpointGauge {
+    /// Creates the counters of a process that has been running for `age`.
     pub(super) fn new(age: Duration, now: Duration) -> Self {
         Self {
             in_flight: AtomicU32::new(0),
@@ -159,6 +160,7 @@
         }
     }
 
+    /// Stores the time until which no slot is expected to be free.
     pub(super) fn set_wait(&self, until: Duration) {
         self.wait_until.store(micros(until), Ordering::Relaxed);
     }
@@ -208,6 +210,7 @@
         self.latencies.for_kind(work)
     }
 
+    /// Returns whether the endpoint is ejected and its time is over.
     pub(super) fn is_probe_due(&self, now: Duration) -> bool {
         let until = self.ejected_until.load(Ordering::Relaxed);
         until != 0 && until <= micros(now)
@@ -249,6 +252,7 @@
         self.ejection_count.store(0, Ordering::Relaxed);
     }
 
+    /// Returns the microsecond at which a probe is due, zero while in service.
     pub(super) fn ejected_until(&self) -> u64 {
         self.ejected_until.load(Ordering::Relaxed)
     }
--- a/components/decide/src/placing/mean.rs
+++ b/components/decide/src/placing/mean.rs
@@ -143,6 +143,7 @@
     (-(idle as f64) / HALF_LIFE_MICROS as f64).exp2()
 }
 
+/// Returns a time in whole microseconds, cut off at the largest number.
 pub(super) fn micros(time: Duration) -> u64 {
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
--- a/components/decide/src/placing/outlier.rs
+++ b/components/decide/src/placing/outlier.rs
@@ -85,6 +85,7 @@
         }
     }
 
+    /// Counts a success, and ejects the endpoint if its mean latency is far above its peers'.
     fn record_success(&self, entry: &TableEntry, work: WorkKey, latency: Duration, now: Duration) {
         let settings = &self.settings;
         entry.gauge.clear_failures();
@@ -101,6 +102,7 @@
         }
     }
 
+    /// Counts failures in a row, and ejects the endpoint when they reach the limit.
     fn record_failures(&self, entry: &TableEntry, count: u32, now: Duration) {
         if entry.gauge.add_failures(count) >= self.settings.failure_limit {
             self.try_eject(entry, now);
--- a/components/decide/src/quarantine/record.rs
+++ b/components/decide/src/quarantine/record.rs
@@ -113,6 +113,7 @@
         self.evidence.iter().filter(move |evidence| !evidence.is_cleared && evidence.at >= since)
     }
 
+    /// Merges evidence of one crash with what is known of that crash, or adds it.
     fn merge_evidence(&mut self, other: &CrashEvidence) {
         match self.evidence.iter_mut().find(|own| own.occasion == other.occasion) {
             Some(own) => {
--- a/components/decide/tests/guard_bounds.rs
+++ b/components/decide/tests/guard_bounds.rs
@@ -11,14 +11,14 @@
     Admission, AdmissionGuard, FlowKey, GuardRequest, GuardSettings, Released, Ticket,
 };
 
-mod fixed;
+mod fixed_seed;
 
 const SETTINGS: fn() -> GuardSettings =
     || GuardSettings { slots: 4, short_queue: 6, long_queue: 3, ..GuardSettings::default() };
 
 #[derive(Clone, Debug)]
 enum Step {
-    Offer { is_long: bool, flow: u64, patience_ms: u64, alone: bool },
+    Offer { is_long: bool, flow: u64, deadline_ms: u64, alone: bool },
     Finish(usize),
     Cancel(usize),
     Expire,
@@ -28,8 +28,8 @@
 fn any_step() -> impl Strategy<Value = Step> {
     let offer = (any::<bool>(), 0..4_u64, 1..400_u64, prop::bool::weighted(0.1));
     prop_oneof![
-        8 => offer.prop_map(|(is_long, flow, patience_ms, alone)| {
-            Step::Offer { is_long, flow, patience_ms, alone }
+        8 => offer.prop_map(|(is_long, flow, deadline_ms, alone)| {
+            Step::Offer { is_long, flow, deadline_ms, alone }
         }),
         4 => (0..64_usize).prop_map(Step::Finish),
         2 => (0..64_usize).prop_map(Step::Cancel),
@@ -80,9 +80,9 @@
     for (step, wait_ms) in steps {
         now += Duration::from_millis(*wait_ms);
         match *step {
-            Step::Offer { is_long, flow, patience_ms, alone } => {
+            Step::Offer { is_long, flow, deadline_ms, alone } => {
                 let class = if is_long { WorkClass::Long } else { WorkClass::Short };
-                let deadline = now + Duration::from_millis(patience_ms);
+                let deadline = now + Duration::from_millis(deadline_ms);
                 let flow = FlowKey { team: flow / 2, caller: flow };
                 let request = GuardRequest {
                     class,
@@ -153,7 +153,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed::config())]
+    #![proptest_config(fixed_seed::config())]
 
     /// A guard that miscounts leaks slots until the server stands idle, or lets more run than the
     /// server has slots for. Callers notice refusals by an idle server, or ever slower answers.
--- a/components/decide/tests/idle_trust.rs
+++ b/components/decide/tests/idle_limits.rs
@@ -12,33 +12,33 @@
 /// request on one is reset; those that follow must not be sent on others as old, and once the server
 /// keeps them again, connections are used as before.
 #[test]
-fn forgetful_server() {
-    let mut trust = IdleTrust::default();
+fn server_drops_idle() {
+    let mut limits = IdleTrust::default();
     let now = millis(10_000);
-    assert_eq!(trust.limit(true, now), IDLE_LIMIT);
-    trust.note_stale(millis(340), now);
-    assert_eq!(trust.limit(true, now), millis(170));
-    assert!(trust.limit(true, now + millis(5_000)) <= millis(340));
-    assert_eq!(trust.limit(true, now + millis(60_000)), IDLE_LIMIT);
+    assert_eq!(limits.limit(true, now), IDLE_LIMIT);
+    limits.note_stale(millis(340), now);
+    assert_eq!(limits.limit(true, now), millis(170));
+    assert!(limits.limit(true, now + millis(5_000)) <= millis(340));
+    assert_eq!(limits.limit(true, now + millis(60_000)), IDLE_LIMIT);
 }
 
 /// A confirmation on a connection that the server has forgotten is lost: nobody can tell whether it
 /// ran. It is sent on connections that were in use just now, whatever is known.
 #[test]
 fn run_once_work() {
-    let mut trust = IdleTrust::default();
+    let mut limits = IdleTrust::default();
     let now = millis(10_000);
-    assert!(trust.limit(false, now) <= millis(250));
-    trust.note_stale(millis(100), now);
-    assert_eq!(trust.limit(false, now), millis(50));
+    assert!(limits.limit(false, now) <= millis(250));
+    limits.note_stale(millis(100), now);
+    assert_eq!(limits.limit(false, now), millis(50));
 }
 
 /// A server dies, or breaks off some of its answers. That says nothing of connections that wait, and
 /// must not make each request open one of its own.
 #[test]
-fn busy_reset() {
-    let mut trust = IdleTrust::default();
+fn reset_in_use() {
+    let mut limits = IdleTrust::default();
     let now = millis(10_000);
-    trust.note_stale(millis(8), now);
-    assert_eq!(trust.limit(true, now), IDLE_LIMIT);
+    limits.note_stale(millis(8), now);
+    assert_eq!(limits.limit(true, now), IDLE_LIMIT);
 }
--- a/components/decide/tests/link_bound.rs
+++ b/components/decide/tests/link_limit.rs
@@ -24,7 +24,7 @@
 }
 
 #[derive(Default)]
-struct Played {
+struct SimulationResult {
     asked: u32,
     in_time: u32,
     late: u32,
@@ -46,22 +46,22 @@
 }
 
 /// Plays documents that come evenly, `per_second`, for ten seconds.
-fn play(per_second: u64, tells_guard: bool) -> Played {
+fn simulate(per_second: u64, informs_guard: bool) -> SimulationResult {
     let settings =
         GuardSettings { order: QueueOrder::Urgent, long_queue: 48, ..GuardSettings::default() };
     let mut guard = AdmissionGuard::new(settings, Duration::ZERO);
-    let mut line = TransferQueue::default();
+    let mut queue = TransferQueue::default();
     let mut rng = StdRng::seed_from_u64(1);
     let mut came = HashMap::<Ticket, u64>::new();
     let mut open = HashMap::<Ticket, Document>::new();
-    let mut played = Played::default();
+    let mut result = SimulationResult::default();
     for now in 0..14_000_u64 {
         let time = Duration::from_millis(now + 1);
         let mut released = guard.expire(time);
         if now < 10_000 && now % (1_000 / per_second) == 0 {
-            played.asked += 1;
+            result.asked += 1;
             match guard.offer(&offer_of(now + 1), time, &mut rng) {
-                Admission::Refused(_) => played.refused += 1,
+                Admission::Refused(_) => result.refused += 1,
                 Admission::Queued(ticket) => drop(came.insert(ticket, now)),
                 Admission::Run(ticket) => {
                     came.insert(ticket, now);
@@ -69,12 +69,12 @@
                 }
             }
         }
-        begin(&mut released, now, &came, &mut open, &mut played);
+        begin(&mut released, now, &came, &mut open, &mut result);
         let mut sending = Vec::new();
         for (ticket, document) in &mut open {
             if now >= document.ready_at {
-                let id = *document.transfer.get_or_insert_with(|| line.begin());
-                if line.ask(id, time) == TransferTurn::Go {
+                let id = *document.transfer.get_or_insert_with(|| queue.begin());
+                if queue.ask(id, time) == TransferTurn::Go {
                     sending.push(*ticket);
                 }
             }
@@ -89,19 +89,19 @@
         }
         for ticket in ended {
             let document = open.remove(&ticket).expect("it is open");
-            document.transfer.into_iter().for_each(|id| line.end(id));
+            document.transfer.into_iter().for_each(|id| queue.end(id));
             match now - document.came <= GOAL_MS {
-                true => played.in_time += 1,
-                false => played.late += 1,
+                true => result.in_time += 1,
+                false => result.late += 1,
             }
-            begin(&mut guard.finish(ticket, time), now, &came, &mut open, &mut played);
+            begin(&mut guard.finish(ticket, time), now, &came, &mut open, &mut result);
         }
-        if tells_guard {
-            let mut released = guard.set_held_back(line.held_back(), time);
-            begin(&mut released, now, &came, &mut open, &mut played);
+        if informs_guard {
+            let mut released = guard.set_held_back(queue.held_back(), time);
+            begin(&mut released, now, &came, &mut open, &mut result);
         }
     }
-    played
+    result
 }
 
 fn begin(
@@ -109,36 +109,36 @@
     now: u64,
     came: &HashMap<Ticket, u64>,
     open: &mut HashMap<Ticket, Document>,
-    played: &mut Played,
+    result: &mut SimulationResult,
 ) {
     for ticket in released.start.drain(..) {
         let (came, ready_at) = (came[&ticket], now + WORK_MS);
         open.insert(ticket, Document { came, ready_at, transfer: None, left: LINK_MS });
     }
-    played.refused += released.refused.drain(..).count() as u32;
+    result.refused += released.refused.drain(..).count() as u32;
 }
 
 /// Twelve documents a second come to a server that could do sixty, on a link that carries seven. A guard
 /// that sees free slots takes them in, and nearly all are late. One that is told that answers wait for
 /// the link keeps as many as it carries in time, and refuses the others while they can come back.
 #[test]
-fn quick_server() {
-    let told = |played: &Played| {
-        let Played { asked, in_time, late, refused } = played;
+fn link_below_server() {
+    let summary = |result: &SimulationResult| {
+        let SimulationResult { asked, in_time, late, refused } = result;
         format!("of {asked}: {in_time} in time, {late} late, {refused} refused")
     };
-    let (naive, informed) = (play(12, false), play(12, true));
+    let (naive, informed) = (simulate(12, false), simulate(12, true));
     assert!(informed.in_time > 2 * naive.in_time);
     expect![[r#"
         by slots: of 121: 7 in time, 74 late, 40 refused
         by the link: of 121: 72 in time, 2 late, 47 refused
     "#]]
-    .assert_eq(&format!("by slots: {}\nby the link: {}\n", told(&naive), told(&informed)));
+    .assert_eq(&format!("by slots: {}\nby the link: {}\n", summary(&naive), summary(&informed)));
 }
 
 /// The link is not full. Nothing is refused and nothing late, whatever the guard is told.
 #[test]
-fn room_enough() {
-    let played = play(4, true);
-    assert_eq!((played.late, played.refused), (0, 0));
+fn free_link() {
+    let result = simulate(4, true);
+    assert_eq!((result.late, result.refused), (0, 0));
 }
--- a/components/decide/tests/link_turns.rs
+++ b/components/decide/tests/link_permits.rs
@@ -17,11 +17,11 @@
     id: TransferId,
     came: u64,
     left: u64,
-    is_stuck: bool,
+    is_stalled: bool,
 }
 
 #[derive(Default)]
-struct Played {
+struct SimulationResult {
     in_time: usize,
     sent: usize,
     /// Longest time that a short answer stood behind documents.
@@ -30,29 +30,29 @@
 
 /// Plays documents that come at given milliseconds. The link divides its bytes evenly among those
 /// that send.
-fn play(arrivals: &[(u64, bool)], has_turns: bool, end: u64) -> Played {
+fn simulate(arrivals: &[(u64, bool)], has_permits: bool, end: u64) -> SimulationResult {
     let mut queue = TransferQueue::default();
     let mut open: BTreeMap<usize, Document> = BTreeMap::new();
-    let mut played = Played::default();
+    let mut result = SimulationResult::default();
     for now in 0..end {
         let time = Duration::from_millis(now);
-        for (index, (_, is_stuck)) in
+        for (index, (_, is_stalled)) in
             arrivals.iter().enumerate().filter(|(_, (came, _))| *came == now)
         {
             let id = queue.begin();
-            let is_stuck = *is_stuck;
-            open.insert(index, Document { id, came: now, left: DOCUMENT, is_stuck });
+            let is_stalled = *is_stalled;
+            open.insert(index, Document { id, came: now, left: DOCUMENT, is_stalled });
         }
         let mut sending = Vec::new();
         for (index, document) in &open {
             // One that stands still has had its first window taken, and asks no more.
-            let asks = !document.is_stuck || document.left > DOCUMENT - WINDOW;
-            if asks && (!has_turns || queue.ask(document.id, time) == TransferTurn::Go) {
+            let asks = !document.is_stalled || document.left > DOCUMENT - WINDOW;
+            if asks && (!has_permits || queue.ask(document.id, time) == TransferTurn::Go) {
                 sending.push(*index);
             }
         }
         let ahead: u64 = sending.iter().map(|index| open[index].left.min(WINDOW)).sum();
-        played.short_ms = played.short_ms.max(ahead / LINK);
+        result.short_ms = result.short_ms.max(ahead / LINK);
         for index in &sending {
             let document = open.get_mut(index).expect("it sends");
             document.left = document.left.saturating_sub(LINK / sending.len() as u64);
@@ -61,13 +61,13 @@
             let is_sent = document.left == 0;
             if is_sent {
                 queue.end(document.id);
-                played.sent += 1;
-                played.in_time += usize::from(now - document.came <= GOAL_MS);
+                result.sent += 1;
+                result.in_time += usize::from(now - document.came <= GOAL_MS);
             }
             !is_sent
         });
     }
-    played
+    result
 }
 
 /// Twelve documents become ready within a tenth of a second on a link that carries eight in a second.
@@ -76,23 +76,23 @@
 #[test]
 fn burst_of_documents() {
     let arrivals: Vec<_> = (0..12).map(|index| (index * 8, false)).collect();
-    let (naive, turns) = (play(&arrivals, false, 4_000), play(&arrivals, true, 4_000));
-    let told = |played: &Played| {
-        let Played { in_time, sent, short_ms } = played;
+    let (naive, permits) = (simulate(&arrivals, false, 4_000), simulate(&arrivals, true, 4_000));
+    let summary = |result: &SimulationResult| {
+        let SimulationResult { in_time, sent, short_ms } = result;
         format!("{in_time} of {sent} in time, short answers up to {short_ms} ms late")
     };
     expect![[r#"
         all at once: 0 of 12 in time, short answers up to 333 ms late
         in turns: 6 of 12 in time, short answers up to 55 ms late
     "#]]
-    .assert_eq(&format!("all at once: {}\nin turns: {}\n", told(&naive), told(&turns)));
+    .assert_eq(&format!("all at once: {}\nin turns: {}\n", summary(&naive), summary(&permits)));
 }
 
 /// Two receivers take nothing any more: one lost its power, one is a caller that stopped to read.
 /// The answers to all others must not wait for their deadlines.
 #[test]
-fn stuck_receivers() {
+fn stalled_receivers() {
     let arrivals = [(0, true), (0, true), (10, false), (20, false), (30, false)];
-    let turns = play(&arrivals, true, 2_000);
-    assert_eq!((turns.sent, turns.in_time), (3, 3));
+    let permits = simulate(&arrivals, true, 2_000);
+    assert_eq!((permits.sent, permits.in_time), (3, 3));
 }
--- a/components/decide/tests/model/mod.rs
+++ b/components/decide/tests/model/mod.rs
@@ -82,7 +82,7 @@
     }
 
     /// Gives how much longer work takes on a server that runs so many calls.
-    fn stretch(&self, server: usize, running: u32, now: Duration) -> f64 {
+    fn slowdown(&self, server: usize, running: u32, now: Duration) -> f64 {
         let slow = self.slow.filter(|(slow, _)| *slow == server).map_or(1.0, |(_, factor)| factor);
         let busy = f64::from(running) / f64::from(self.guard.slots);
         let cold = (1.0 - now.as_secs_f64() / 10.0).max(0.0);
@@ -139,7 +139,7 @@
 
 struct Server {
     guard: AdmissionGuard,
-    held: HashMap<Ticket, usize>,
+    tickets: HashMap<Ticket, usize>,
     fifo: VecDeque<usize>,
     running: u32,
 }
@@ -156,7 +156,7 @@
     calls: Vec<Call>,
     servers: Vec<Server>,
     daemons: Vec<(Arc<PlacementTable>, RetryBudget)>,
-    turn: usize,
+    next_server: usize,
     report: Report,
 }
 
@@ -174,7 +174,7 @@
         let started_at = Duration::from_nanos(scenario.cold.into());
         let server = |_| Server {
             guard: AdmissionGuard::new(scenario.guard, started_at),
-            held: HashMap::new(),
+            tickets: HashMap::new(),
             fifo: VecDeque::new(),
             running: 0,
         };
@@ -189,7 +189,7 @@
             calls: Vec::new(),
             servers: (0..Scenario::SERVERS).map(server).collect(),
             daemons: (0..DAEMONS).map(daemon).collect(),
-            turn: 0,
+            next_server: 0,
             report: Report::default(),
         }
     }
@@ -284,11 +284,11 @@
         };
         match self.servers[server].guard.offer(&request, now, &mut self.rng) {
             Admission::Run(ticket) => {
-                self.servers[server].held.insert(ticket, index);
+                self.servers[server].tickets.insert(ticket, index);
                 self.start(server, index, Some(ticket));
             }
             Admission::Queued(ticket) => {
-                self.servers[server].held.insert(ticket, index);
+                self.servers[server].tickets.insert(ticket, index);
                 self.push(deadline, Event::Expire(server));
             }
             Admission::Refused(_) => self.refused(server, index),
@@ -296,8 +296,8 @@
     }
 
     fn attempt_naive(&mut self, index: usize) {
-        let server = self.turn % Scenario::SERVERS;
-        self.turn += 1;
+        let server = self.next_server % Scenario::SERVERS;
+        self.next_server += 1;
         let attempt = self.calls[index].tries;
         if self.scenario.is_down(server, self.now) {
             return self.give_up(index, attempt);
@@ -311,10 +311,10 @@
 
     fn start(&mut self, server: usize, index: usize, ticket: Option<Ticket>) {
         self.servers[server].running += 1;
-        let stretch = self.scenario.stretch(server, self.servers[server].running, self.now);
+        let slowdown = self.scenario.slowdown(server, self.servers[server].running, self.now);
         let call = &mut self.calls[index];
         (call.ticket, call.started) = (ticket, self.now);
-        let end = self.now + Duration::from_secs_f64(call.work * stretch);
+        let end = self.now + Duration::from_secs_f64(call.work * slowdown);
         self.push(end, Event::Done(server, index));
     }
 
@@ -348,11 +348,11 @@
 
     fn apply(&mut self, server: usize, released: Released) {
         for ticket in released.start {
-            self.start(server, self.servers[server].held[&ticket], Some(ticket));
+            self.start(server, self.servers[server].tickets[&ticket], Some(ticket));
         }
         for (ticket, _) in released.refused {
-            self.report.held_refusals += 1;
-            self.refused(server, self.servers[server].held[&ticket]);
+            self.report.queued_refusals += 1;
+            self.refused(server, self.servers[server].tickets[&ticket]);
         }
     }
 
--- a/components/decide/tests/model/report.rs
+++ b/components/decide/tests/model/report.rs
@@ -43,7 +43,7 @@
     /// Attempts that reached for a server.
     pub sends: u32,
     /// Refusals of calls that had been queued, by which time was lost for going elsewhere.
-    pub held_refusals: u32,
+    pub queued_refusals: u32,
     /// Most by which an admitted call missed its deadline beyond its own service time.
     pub worst_overrun: Duration,
 }
--- a/components/decide/tests/near_slots.rs
+++ b/components/decide/tests/own_data_centre.rs
@@ -39,7 +39,7 @@
     Arc::new(PlacementTable::new(settings).rebuild(&records, Duration::ZERO))
 }
 
-fn look(work: u64, bytes: u64, goal: u64) -> PlaceRequest<'static> {
+fn attempt(work: u64, bytes: u64, goal: u64) -> PlaceRequest<'static> {
     PlaceRequest {
         class: WorkClass::Short,
         work,
@@ -51,9 +51,9 @@
     }
 }
 
-fn teach(table: &Arc<PlacementTable>, id: u64, work: u64, took: u64, now: Duration) {
+fn train(table: &Arc<PlacementTable>, id: u64, work: u64, took: u64, now: Duration) {
     let exclude = [1 - id];
-    let request = PlaceRequest { exclude: &exclude, wants_slot: false, ..look(work, 0, 100) };
+    let request = PlaceRequest { exclude: &exclude, wants_slot: false, ..attempt(work, 0, 100) };
     for _ in 0..8 {
         let mut rng = StdRng::seed_from_u64(1);
         let placed = table.choose(&request, now, &mut rng).expect("the one that is left");
@@ -70,30 +70,30 @@
 /// both, it looks too slow for an alert's goal, and nearly all alerts leave a data centre whose own
 /// server is idle.
 #[test]
-fn kinds_apart() {
+fn separate_work_kinds() {
     let table = two_centres();
     let now = Duration::from_secs(5);
     for id in [NEAR, FAR] {
-        teach(&table, id, ALERT, 38, now);
+        train(&table, id, ALERT, 38, now);
     }
-    teach(&table, NEAR, UPLOAD, 115, now);
-    assert_eq!(place(&table, &look(ALERT, 5_000, 100), now), NEAR);
+    train(&table, NEAR, UPLOAD, 115, now);
+    assert_eq!(place(&table, &attempt(ALERT, 5_000, 100), now), NEAR);
 }
 
 /// All near slots are taken for a moment. An upload of 60 kilobytes that would be in time after a short
 /// wait stays; a look-up of one goes where a slot is free at once, since its bytes are not worth a wait.
 #[test]
-fn heavy_waits() {
+fn large_upload_waits() {
     let table = two_centres();
     let now = Duration::from_secs(5);
     for id in [NEAR, FAR] {
-        teach(&table, id, UPLOAD, 72, now);
+        train(&table, id, UPLOAD, 72, now);
     }
     table.note_wait(NEAR, millis(40), now);
-    assert_eq!(place(&table, &look(UPLOAD, 60_000, 300), now), NEAR);
-    assert_eq!(place(&table, &look(UPLOAD, 1_000, 300), now), FAR);
+    assert_eq!(place(&table, &attempt(UPLOAD, 60_000, 300), now), NEAR);
+    assert_eq!(place(&table, &attempt(UPLOAD, 1_000, 300), now), FAR);
     // Bytes are not worth a goal.
-    assert_eq!(place(&table, &look(UPLOAD, 60_000, 130), now), FAR);
+    assert_eq!(place(&table, &attempt(UPLOAD, 60_000, 130), now), FAR);
 }
 
 /// A request waits near by for a moment, and more urgent ones keep coming. It must not be held there
@@ -137,13 +137,13 @@
         for index in 0..12 {
             let outcome = if index % 2 == 0 { CallOutcome::Success } else { CallOutcome::Failure };
             let exclude = [1 - id];
-            let request = PlaceRequest { exclude: &exclude, wants_slot: false, ..look(1, 0, 300) };
+            let request = PlaceRequest { exclude: &exclude, wants_slot: false, ..attempt(1, 0, 300) };
             let placed = table.choose(&request, now, &mut StdRng::seed_from_u64(3));
             placed.expect("the one that is left").finish(outcome, millis(60), now);
         }
     };
     fail(NEAR);
-    assert_eq!(place(&table, &look(1, 1_000, 300), now), FAR, "it alone fails");
+    assert_eq!(place(&table, &attempt(1, 1_000, 300), now), FAR, "it alone fails");
     fail(FAR);
-    assert_eq!(place(&table, &look(1, 1_000, 300), now), NEAR, "both fail");
+    assert_eq!(place(&table, &attempt(1, 1_000, 300), now), NEAR, "both fail");
 }
--- a/components/decide/tests/pacing_storm.rs
+++ b/components/decide/tests/pacing_storm.rs
@@ -39,17 +39,17 @@
 /// run: its clients come back together and are turned away together.
 #[test]
 fn reconnect_storm() {
-    let (spread, spread_tries) = storm(None);
+    let (gate, gate_tries) = storm(None);
     let (fixed, fixed_tries) = storm(Some(Duration::from_millis(50)));
     let ideal = Duration::from_millis(20) * (780 / 8);
-    assert!(spread <= ideal * 2, "all served after {spread:?}, ideal {ideal:?}");
-    assert!(spread_tries * 4 <= fixed_tries, "{spread_tries} tries, fixed {fixed_tries}");
+    assert!(gate <= ideal * 2, "all served after {gate:?}, ideal {ideal:?}");
+    assert!(gate_tries * 4 <= fixed_tries, "{gate_tries} tries, fixed {fixed_tries}");
     expect![[r#"
         served after 2.53s, ideal 1.94s, tries 1680
         fixed return: served after 4.87s, tries 38416
     "#]]
     .assert_eq(&format!(
-        "served after {spread:.2?}, ideal {ideal:.2?}, tries {spread_tries}\n\
+        "served after {gate:.2?}, ideal {ideal:.2?}, tries {gate_tries}\n\
          fixed return: served after {fixed:.2?}, tries {fixed_tries}\n"
     ));
 }
@@ -67,10 +67,10 @@
         last = now;
         match arrives.then(|| gate.enter(now, &mut rng)) {
             None => gate.leave(took),
-            Some(GateVerdict::Enter) => {
+            Some(GateVerdict::Start) => {
                 events.insert((now + took, id), false);
             }
-            Some(GateVerdict::ComeBack(wait)) => {
+            Some(GateVerdict::RetryAfter(wait)) => {
                 events.insert((now + fixed.unwrap_or(wait), id), true);
             }
         }
--- a/components/decide/tests/placing_rules.rs
+++ b/components/decide/tests/placing_rules.rs
@@ -36,7 +36,7 @@
 }
 
 /// Places calls that end at once and gives how many each endpoint got.
-fn spread(table: &Arc<PlacementTable>, calls: u32, now: Duration) -> [u32; 8] {
+fn distribution(table: &Arc<PlacementTable>, calls: u32, now: Duration) -> [u32; 8] {
     let mut rng = StdRng::seed_from_u64(1);
     let mut counts = [0; 8];
     for _ in 0..calls {
@@ -55,14 +55,14 @@
     call.finish(outcome, Duration::from_millis(10), now);
 }
 
-fn aside_count(table: &PlacementTable, now: Duration) -> usize {
-    table.states(now).iter().filter(|state| state.is_aside).count()
+fn ejected_count(table: &PlacementTable, now: Duration) -> usize {
+    table.states(now).iter().filter(|state| state.is_ejected).count()
 }
 
 /// All servers fail at once, as when a database behind them is gone. Setting all aside would turn
 /// slow failures into no service at all, which stays when the database is back.
 #[test]
-fn aside_cap() {
+fn ejection_limit() {
     let now = seconds(1);
     for (count, most) in [(1, 0), (2, 1), (3, 1), (5, 1), (6, 2), (7, 2)] {
         let records: Vec<_> = (0..count).map(record).collect();
@@ -70,7 +70,7 @@
         for id in 0..count {
             (0..6).for_each(|_| fail(&table, id, CallOutcome::Failure, now));
         }
-        assert_eq!(aside_count(&table, now), most, "{count} endpoints");
+        assert_eq!(ejected_count(&table, now), most, "{count} endpoints");
     }
 }
 
@@ -81,9 +81,9 @@
     let records: Vec<_> = (0..6).map(record).collect();
     let full = table(&records, now);
     (0..6).for_each(|_| (0..2).for_each(|id| fail(&full, id, CallOutcome::Failure, now)));
-    assert_eq!(aside_count(&full, now), 2);
-    assert_eq!(aside_count(&full.rebuild(&records[..3], now), now), 1);
-    assert_eq!(aside_count(&full.rebuild(&records[..1], now), now), 0);
+    assert_eq!(ejected_count(&full, now), 2);
+    assert_eq!(ejected_count(&full.rebuild(&records[..3], now), now), 1);
+    assert_eq!(ejected_count(&full.rebuild(&records[..1], now), now), 0);
 }
 
 /// An endpoint comes back from its time aside. If all requests tried it at once, a server that is
@@ -93,20 +93,20 @@
     let (now, later) = (seconds(1), seconds(7));
     let table = table(&[record(0), record(1), record(2)], now);
     (0..2).for_each(|_| fail(&table, 0, CallOutcome::Unreachable, now));
-    assert_eq!(spread(&table, 300, now)[0], 0, "set aside");
+    assert_eq!(distribution(&table, 300, now)[0], 0, "set aside");
     let mut rng = StdRng::seed_from_u64(1);
     let once_only = PlaceRequest { may_probe: false, ..ANY };
     let call = table.choose(&once_only, later, &mut rng).expect("others are left");
     assert!(!call.is_probe(), "a request that runs at most once is no probe");
     let probe = table.choose(&ANY, later, &mut rng).expect("the probe is due");
     assert!(probe.is_probe() && probe.endpoint() == 0);
-    assert_eq!(spread(&table, 300, later)[0], 0, "one probe at a time");
+    assert_eq!(distribution(&table, 300, later)[0], 0, "one probe at a time");
     probe.finish(CallOutcome::Failure, Duration::ZERO, later);
-    assert_eq!(spread(&table, 300, later + seconds(9))[0], 0, "aside for twice as long");
+    assert_eq!(distribution(&table, 300, later + seconds(9))[0], 0, "aside for twice as long");
     let again = later + seconds(10);
     let probe = table.choose(&ANY, again, &mut rng).expect("the probe is due");
     probe.finish(CallOutcome::Success, Duration::from_millis(1), again);
-    let share = spread(&table, 3000, again)[0];
+    let share = distribution(&table, 3000, again)[0];
     assert!((1..300).contains(&share), "back and cold: {share} of 3000");
 }
 
@@ -131,10 +131,10 @@
     let now = seconds(1);
     let table = table(&[record(0), record(1), record(2)], now);
     fail(&table, 0, CallOutcome::Leaving, now);
-    assert_eq!(spread(&table, 300, now + seconds(3600))[0], 0);
+    assert_eq!(distribution(&table, 300, now + seconds(3600))[0], 0);
     fail(&table, 1, CallOutcome::Leaving, now);
     (0..6).for_each(|_| fail(&table, 2, CallOutcome::Failure, now));
-    assert_eq!(spread(&table, 300, now)[2], 300, "the last one that stays is not set aside");
+    assert_eq!(distribution(&table, 300, now)[2], 300, "the last one that stays is not set aside");
 }
 
 /// A new process at an old address. With the old one's counts it would look loaded for good, and
@@ -152,9 +152,9 @@
     assert_eq!(old.rebuild(&[record(0), record(1)], now).states(now)[0].in_flight, 5);
     drop(held);
     assert_eq!((old.states(now)[0].in_flight, new.states(now)[0].in_flight), (0, 0));
-    let cold = spread(&new, 3000, now)[0];
+    let cold = distribution(&new, 3000, now)[0];
     assert!((150..450).contains(&cold), "a tenth of a share: {cold} of 3000");
-    let warm = spread(&new, 3000, now + seconds(40))[0];
+    let warm = distribution(&new, 3000, now + seconds(40))[0];
     assert!((1300..1700).contains(&warm), "the whole share: {warm} of 3000");
 }
 
@@ -165,11 +165,11 @@
     let now = seconds(1);
     let table = table(&[record(0), record(1)], now);
     table.hint(0, 0.0, now);
-    assert!((1300..1700).contains(&spread(&table, 3000, now)[0]), "idle gains nothing");
+    assert!((1300..1700).contains(&distribution(&table, 3000, now)[0]), "idle gains nothing");
     table.hint(0, 1.0, now);
-    let full = spread(&table, 3000, now)[0];
+    let full = distribution(&table, 3000, now)[0];
     assert!((150..450).contains(&full), "full keeps a tenth: {full} of 3000");
-    assert!((1300..1700).contains(&spread(&table, 3000, now + seconds(2))[0]), "expired");
+    assert!((1300..1700).contains(&distribution(&table, 3000, now + seconds(2))[0]), "expired");
 }
 
 /// Requests stay in their data centre until it is loaded, and then leave by degrees: without spill
@@ -211,7 +211,7 @@
                         _ => CallOutcome::Success,
                     };
                     call.finish(outcome, Duration::from_millis(1), now);
-                    assert!(aside_count(table, now) <= 2);
+                    assert!(ejected_count(table, now) <= 2);
                 }
             });
         }
--- a/components/decide/tests/quarantine_merge.rs
+++ b/components/decide/tests/quarantine_merge.rs
@@ -5,32 +5,32 @@
 use proptest::prelude::*;
 use sk_decide::quarantine::{CrashReport, QuarantineSettings, QuarantineTable};
 
-mod fixed;
+mod fixed_seed;
 
 #[derive(Clone, Debug)]
-enum Happening {
+enum HistoryEvent {
     Crash { occasion: u64, in_flight: Vec<u64>, is_trial: bool },
     Success { fingerprint: u64, at: u64 },
 }
 
-fn any_history() -> impl Strategy<Value = Vec<Happening>> {
+fn any_history() -> impl Strategy<Value = Vec<HistoryEvent>> {
     let crash = (0..10_u64, prop::collection::vec(0..5_u64, 1..4), any::<bool>());
-    let happening = prop_oneof![
-        crash.prop_map(|(occasion, in_flight, is_trial)| Happening::Crash {
+    let event = prop_oneof![
+        crash.prop_map(|(occasion, in_flight, is_trial)| HistoryEvent::Crash {
             occasion,
             in_flight,
             is_trial
         }),
-        (0..5_u64, 0..12_u64).prop_map(|(fingerprint, at)| Happening::Success { fingerprint, at }),
+        (0..5_u64, 0..12_u64).prop_map(|(fingerprint, at)| HistoryEvent::Success { fingerprint, at }),
     ];
-    prop::collection::vec(happening, 0..12)
+    prop::collection::vec(event, 0..12)
 }
 
-fn table_of(history: &[Happening]) -> QuarantineTable {
+fn table_of(history: &[HistoryEvent]) -> QuarantineTable {
     let mut table = QuarantineTable::new(QuarantineSettings::default());
-    for happening in history {
-        match happening {
-            Happening::Crash { occasion, in_flight, is_trial } => {
+    for event in history {
+        match event {
+            HistoryEvent::Crash { occasion, in_flight, is_trial } => {
                 table.record_crash(&CrashReport {
                     occasion: *occasion,
                     at: Duration::from_secs(*occasion),
@@ -38,7 +38,7 @@
                     is_trial: *is_trial,
                 });
             }
-            Happening::Success { fingerprint, at } => {
+            HistoryEvent::Success { fingerprint, at } => {
                 table.record_success(*fingerprint, Duration::from_secs(*at));
             }
         }
@@ -54,7 +54,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed::config())]
+    #![proptest_config(fixed_seed::config())]
 
     /// Records reach a daemon late, twice and out of order. If the order mattered, one daemon would
     /// refuse a request that another runs.
--- a/components/decide/tests/quarantine_trials.rs
+++ b/components/decide/tests/quarantine_trials.rs
@@ -45,11 +45,11 @@
     crash(&mut table, 1, &[POISON, 1, 2], false);
     assert_eq!(table.judge(POISON, seconds(2)), QuarantineVerdict::TryAlone);
     crash(&mut table, 3, &[POISON], true);
-    let hold = QuarantineSettings::default().hold;
-    assert_eq!(table.judge(POISON, seconds(3)), QuarantineVerdict::Refused(hold));
-    let later = seconds(3) + hold;
+    let refusal_time = QuarantineSettings::default().refusal_time;
+    assert_eq!(table.judge(POISON, seconds(3)), QuarantineVerdict::Refused(refusal_time));
+    let later = seconds(3) + refusal_time;
     assert_eq!(table.judge(POISON, later), QuarantineVerdict::TryAlone);
-    table.expire(later + QuarantineSettings::default().keep);
+    table.expire(later + QuarantineSettings::default().evidence_life);
     assert!(table.is_empty());
 }
 
@@ -57,7 +57,7 @@
 /// just when the crashing one is. A rule that counts crashes refuses them all, and callers who did
 /// nothing wrong get no answer for minutes.
 #[test]
-fn innocent_neighbours() {
+fn innocent_requests() {
     let (mut table, mut naive) = (new_table(), NaiveCount::default());
     for occasion in 1..6 {
         let company = [POISON, 1, 2, 100 + occasion, 200 + occasion];
--- a/components/decide/tests/retry_storm.rs
+++ b/components/decide/tests/retry_storm.rs
@@ -11,7 +11,7 @@
     FailedAttempt, GiveUpReason, RetryBudget, RetrySettings, RetryVerdict, RunOutcome, may_retry,
 };
 
-mod fixed;
+mod fixed_seed;
 mod model;
 
 use model::{Scenario, millis, short_load};
@@ -152,7 +152,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed::config())]
+    #![proptest_config(fixed_seed::config())]
 
     /// A budget that grants more than its bound lets a failing service drown in retries. The bound
     /// is checked over every span of the sequence, not from its start only.
--- a/components/decide/tests/saturation.rs
+++ b/components/decide/tests/saturation.rs
@@ -67,7 +67,7 @@
         .map(|flow| Load { flow, rate: load.rate / 10.0, deadline: millis(25), ..load })
         .collect();
     let both = scenario.compare();
-    let held = f64::from(both.guarded.held_refusals) / f64::from(both.guarded.sends);
+    let held = f64::from(both.guarded.queued_refusals) / f64::from(both.guarded.sends);
     assert!(held <= 0.01, "{held}");
     let in_time = |report: &Report| report.good() / (4.0 * scenario.capacity(millis(10)));
     assert!(in_time(&both.guarded) >= 0.9 && in_time(&both.naive) < 0.9);
--- a/components/decide/tests/look_time.rs
+++ b/components/decide/tests/search_limits.rs
@@ -7,21 +7,21 @@
 const GOAL: Option<Duration> = Some(Duration::from_millis(600));
 
 /// Counts the looks of a request that finds every server full, where each refusal takes `took`.
-fn looks(took: Duration, goal: Option<Duration>) -> u64 {
+fn attempts(took: Duration, goal: Option<Duration>) -> u64 {
     let mut search = SlotSearch::default();
-    let mut looks = 0;
+    let mut attempts = 0;
     while search.wants_slot(PlacementOrder::Soonest, false) {
-        search.note_busy(looks, took, goal);
-        looks += 1;
+        search.note_busy(attempts, took, goal);
+        attempts += 1;
     }
-    looks
+    attempts
 }
 
 /// All servers are full for a moment on a fleet that has processor time to spare. Looking round costs
 /// next to nothing and finds the first free slot.
 #[test]
 fn quick_refusals() {
-    assert_eq!(looks(Duration::from_millis(4), GOAL), 4);
+    assert_eq!(attempts(Duration::from_millis(4), GOAL), 4);
 }
 
 /// A fleet of small instances is asked for more than it can do. Every daemon takes a tenth of a second
@@ -30,20 +30,20 @@
 /// has gone.
 #[test]
 fn slow_refusals() {
-    assert_eq!(looks(Duration::from_millis(40), GOAL), 2);
-    assert_eq!(looks(Duration::from_millis(120), GOAL), 1);
+    assert_eq!(attempts(Duration::from_millis(40), GOAL), 2);
+    assert_eq!(attempts(Duration::from_millis(120), GOAL), 1);
 }
 
 /// A request without a goal cannot tell what is long, and keeps the bound on the number.
 #[test]
 fn no_goal() {
-    assert_eq!(looks(Duration::from_millis(120), None), 4);
+    assert_eq!(attempts(Duration::from_millis(120), None), 4);
 }
 
 /// Refusals of the second pass, where the request would have queued, count as well: the request is
 /// told to come back, and asks nobody else.
 #[test]
-fn queues_refuse() {
+fn refused_while_queueing() {
     let mut search = SlotSearch::default();
     search.note_busy(1, Duration::from_millis(30), GOAL);
     assert!(!search.is_long(GOAL));
--- a/components/decide/tests/soonest_answer.rs
+++ b/components/decide/tests/soonest_answer.rs
@@ -45,7 +45,7 @@
 };
 
 /// Ends a request at a given endpoint by leaving only that one to choose.
-fn teach(
+fn train(
     table: &Arc<PlacementTable>,
     id: u64,
     outcome: CallOutcome,
@@ -78,7 +78,7 @@
     let table = table(&[EndpointDistance::SameCentre; 3]);
     let now = Duration::from_secs(5);
     for (id, took) in [(0, 150), (1, 320), (2, 450)] {
-        (0..8).for_each(|_| teach(&table, id, CallOutcome::Success, millis(took), now));
+        (0..8).for_each(|_| train(&table, id, CallOutcome::Success, millis(took), now));
     }
     assert_eq!(count(&table, &ANY, now), [100, 0, 0]);
     // It says that it has no slot free: the next best is looked at, and waited for by nobody.
@@ -95,7 +95,7 @@
     let table = table(&[EndpointDistance::SameCentre; 2]);
     let now = Duration::from_secs(5);
     for (id, took, wait) in [(0, 150, 400), (1, 250, 50)] {
-        (0..8).for_each(|_| teach(&table, id, CallOutcome::Success, millis(took), now));
+        (0..8).for_each(|_| train(&table, id, CallOutcome::Success, millis(took), now));
         table.note_wait(id, millis(wait), now);
     }
     assert_eq!(count(&table, &ANY, now), [0, 0], "none is free");
@@ -110,7 +110,7 @@
     let table = table(&[EndpointDistance::SameCentre, EndpointDistance::SameRegion]);
     let now = Duration::from_secs(5);
     for (id, took) in [(0, 300), (1, 150)] {
-        (0..8).for_each(|_| teach(&table, id, CallOutcome::Success, millis(took), now));
+        (0..8).for_each(|_| train(&table, id, CallOutcome::Success, millis(took), now));
     }
     assert_eq!(count(&table, &ANY, now), [100, 0]);
     let hurried = PlaceRequest { goal: Some(millis(350)), ..ANY };
@@ -125,8 +125,8 @@
     let now = Duration::from_secs(5);
     for index in 0..12 {
         let outcome = if index % 2 == 0 { CallOutcome::Success } else { CallOutcome::Failure };
-        teach(&table, 0, outcome, millis(100), now);
-        teach(&table, 1, CallOutcome::Success, millis(200), now);
+        train(&table, 0, outcome, millis(100), now);
+        train(&table, 1, CallOutcome::Success, millis(200), now);
     }
     assert_eq!(count(&table, &ANY, now), [0, 100]);
     // It is tried again when the failures are some time ago.
@@ -136,11 +136,11 @@
 /// A guard sees its server fail before this daemon has lost a request there. Waiting for failures of
 /// its own, each daemon of a fleet would lose two requests to find out the same.
 #[test]
-fn told_of_failures() {
+fn reported_failures() {
     let table = table(&[EndpointDistance::SameCentre, EndpointDistance::SameRegion]);
     let now = Duration::from_secs(5);
     for (id, took) in [(0, 100), (1, 200)] {
-        (0..8).for_each(|_| teach(&table, id, CallOutcome::Success, millis(took), now));
+        (0..8).for_each(|_| train(&table, id, CallOutcome::Success, millis(took), now));
     }
     table.note_failing(0, 0.4, now);
     assert_eq!(count(&table, &ANY, now), [0, 100]);
@@ -153,8 +153,8 @@
 fn failing_is_not_free() {
     let table = table(&[EndpointDistance::SameCentre; 2]);
     let now = Duration::from_secs(5);
-    (0..8).for_each(|_| teach(&table, 0, CallOutcome::Success, millis(200), now));
-    (0..8).for_each(|_| teach(&table, 1, CallOutcome::Failure, millis(2), now));
+    (0..8).for_each(|_| train(&table, 0, CallOutcome::Success, millis(200), now));
+    (0..8).for_each(|_| train(&table, 1, CallOutcome::Failure, millis(2), now));
     table.note_wait(0, millis(150), now);
     assert_eq!(count(&table, &ANY, now), [0, 0], "no slot is worth having");
     let queueing = PlaceRequest { wants_slot: false, ..ANY };
@@ -162,12 +162,12 @@
 }
 
 /// Ends a request at a given endpoint whose answer spent a time on the way.
-fn teach_way(table: &Arc<PlacementTable>, id: u64, way: Duration, now: Duration) {
+fn train_transit(table: &Arc<PlacementTable>, id: u64, transit: Duration, now: Duration) {
     let others: Vec<u64> = (0..table.len() as u64).filter(|other| *other != id).collect();
     let request = PlaceRequest { exclude: &others, wants_slot: false, ..ANY };
     let mut rng = StdRng::seed_from_u64(1);
     let mut placed = table.choose(&request, now, &mut rng).expect("the one that is left");
-    placed.note_head(Some(way), now);
+    placed.note_head(Some(transit), now);
     placed.finish(CallOutcome::Success, millis(150), now);
 }
 
@@ -178,8 +178,8 @@
 fn full_link() {
     let table = table(&[EndpointDistance::SameCentre, EndpointDistance::SameRegion]);
     let now = Duration::from_secs(5);
-    for (id, way) in [(0, 330), (1, 2)] {
-        (0..4).for_each(|_| teach_way(&table, id, millis(way), now));
+    for (id, transit) in [(0, 330), (1, 2)] {
+        (0..4).for_each(|_| train_transit(&table, id, millis(transit), now));
     }
     let hurried = PlaceRequest { goal: Some(millis(400)), ..ANY };
     assert_eq!(count(&table, &hurried, now), [0, 100]);
@@ -196,7 +196,7 @@
     let table = table(&[EndpointDistance::SameCentre, EndpointDistance::SameRegion]);
     let now = Duration::from_secs(5);
     for id in [0, 1] {
-        (0..4).for_each(|_| teach_way(&table, id, millis(2), now));
+        (0..4).for_each(|_| train_transit(&table, id, millis(2), now));
     }
     let mut rng = StdRng::seed_from_u64(1);
     let near = PlaceRequest { exclude: &[1], wants_slot: false, ..ANY };
@@ -205,7 +205,7 @@
     let silent = now + millis(1_300);
     assert_eq!(count(&table, &ANY, silent), [0, 100]);
     open.note_head(Some(millis(2)), silent);
-    assert_eq!(count(&table, &ANY, silent), [100, 0], "an answer shows that the way is open");
+    assert_eq!(count(&table, &ANY, silent), [100, 0], "an answer shows that messages get through");
 }
 
 /// Documents are late everywhere, by half a second more near by than far away. Bytes that cross between
@@ -227,7 +227,7 @@
     assert_eq!(count(&table, &long, now), [100, 0]);
     let short = PlaceRequest { class: WorkClass::Short, work: 1, ..long };
     for (id, took) in [(0, 1_400), (1, 900)] {
-        (0..8).for_each(|_| teach(&table, id, CallOutcome::Success, millis(took), now));
+        (0..8).for_each(|_| train(&table, id, CallOutcome::Success, millis(took), now));
     }
     assert_eq!(count(&table, &short, now), [0, 100], "short answers are cheap");
     table.note_wait(0, millis(1_000), now);
--- a/components/decide/tests/late_trips.rs
+++ b/components/decide/tests/transit_times.rs
@@ -62,7 +62,7 @@
 /// Guards against calls being taken at their word behind bytes that also held up the opening of their
 /// connection, which then is no measure of a free link.
 #[test]
-fn opened_late() {
+fn slow_opening() {
     let mut clocks = TripClocks::default();
     let opening = LinkOpening { began: millis(5_000), took: millis(700) };
     clocks.note_opening(CLOCK, opening, millis(1_400));
@@ -77,7 +77,7 @@
 /// Guards against the opening of a further connection, which takes longer than a message, being counted
 /// against a clock that is known.
 #[test]
-fn opened_again() {
+fn second_opening() {
     let mut clocks = TripClocks::default();
     let _ = clocks.note(CLOCK, millis(5_000), millis(100));
     let opening = LinkOpening { began: millis(6_000), took: millis(300) };
--- a/components/decide/tests/upload_link.rs
+++ b/components/decide/tests/upload_link.rs
@@ -44,7 +44,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Played {
+struct SimulationResult {
     in_time: u64,
     /// Refused at once, with time to go to another server.
     refused: u64,
@@ -53,30 +53,30 @@
     short_ms: u64,
 }
 
-impl Played {
-    fn note_end(&mut self, came: u64, end: u64) {
+impl SimulationResult {
+    fn record_end(&mut self, came: u64, end: u64) {
         match end <= came + GOAL_MS {
             true => self.in_time += 1,
             false => self.late += 1,
         }
     }
 
-    fn note_link(&mut self, bytes: u64) {
+    fn record_link(&mut self, bytes: u64) {
         self.short_ms = self.short_ms.max(bytes / LINK);
     }
 }
 
 /// Plays the uploads with all of each sent at once.
-fn play_whole() -> Played {
-    let mut played = Played::default();
+fn simulate_whole() -> SimulationResult {
+    let mut result = SimulationResult::default();
     let (mut behind, mut free_at) = (0, 0.0_f64);
     for came in (PAUSE_MS..END_MS).step_by(PAUSE_MS as usize) {
         free_at = free_at.max(came as f64) + UPLOAD as f64 / LINK as f64;
         behind = behind.max(((free_at - came as f64) * LINK as f64) as u64);
-        played.note_end(came, free_at as u64 + WORK_MS);
+        result.record_end(came, free_at as u64 + WORK_MS);
     }
-    played.note_link(behind);
-    played
+    result.record_link(behind);
+    result
 }
 
 struct ComingUpload {
@@ -88,10 +88,10 @@
 }
 
 /// Plays the uploads with each decided on by its first bytes and then taken in its turn.
-fn play_turns() -> Played {
+fn simulate_permits() -> SimulationResult {
     let (mut guard, mut queue) = (guard(), TransferQueue::default());
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut played = Played::default();
+    let mut result = SimulationResult::default();
     let mut coming: Vec<ComingUpload> = Vec::new();
     let mut running: VecDeque<(u64, u64, Ticket)> = VecDeque::new();
     let mut stray = 0;
@@ -103,13 +103,13 @@
                 let (id, unsent) = (queue.begin(), UPLOAD - WINDOW);
                 coming.push(ComingUpload { id, came: ms, unsent, on_link: WINDOW });
             } else {
-                played.refused += 1;
+                result.refused += 1;
                 stray += WINDOW;
             }
         }
         let on_link =
             |coming: &[ComingUpload]| coming.iter().map(|upload| upload.on_link).sum::<u64>();
-        played.note_link(stray + on_link(&coming));
+        result.record_link(stray + on_link(&coming));
         let mut room = LINK.saturating_sub(stray);
         stray = stray.saturating_sub(LINK);
         for upload in &mut coming {
@@ -129,7 +129,7 @@
                     Admission::Run(ticket) => {
                         running.push_back((ms + WORK_MS, upload.came, ticket))
                     }
-                    _ => played.late += 1,
+                    _ => result.late += 1,
                 }
             }
             is_coming
@@ -137,22 +137,22 @@
         while let Some((end, came, ticket)) = running.pop_front_if(|(end, ..)| *end <= ms) {
             let released = guard.finish(ticket, now);
             assert!(released.start.is_empty(), "no upload waits for a slot");
-            played.note_end(came, end);
+            result.record_end(came, end);
         }
     }
-    played
+    result
 }
 
 /// Guards against uploads that fill a link, come late at a server with free slots and hold up short
 /// calls.
 #[test]
 fn full_link() {
-    let (whole, turns) = (play_whole(), play_turns());
-    assert!(whole.late > whole.in_time, "the naive way must show the harm: {whole:?}");
-    assert!(turns.late * 20 < turns.in_time, "{turns:?}");
+    let (whole, permits) = (simulate_whole(), simulate_permits());
+    assert!(whole.late > whole.in_time, "the naive policy must show the harm: {whole:?}");
+    assert!(permits.late * 20 < permits.in_time, "{permits:?}");
     // The link carries 14 a second; what is refused costs it a window each.
-    assert!(turns.in_time > 200, "{turns:?}");
-    assert!(turns.short_ms < 250 && whole.short_ms > 2_000, "{turns:?} {whole:?}");
+    assert!(permits.in_time > 200, "{permits:?}");
+    assert!(permits.short_ms < 250 && whole.short_ms > 2_000, "{permits:?} {whole:?}");
 }
 
 fn consider(request: &GuardRequest, link: &LinkAhead) -> Result<(), RefusalReason> {
@@ -167,16 +167,16 @@
 
 /// Guards against uploads that look for a free slot and wait for the link instead.
 #[test]
-fn looks_on() {
-    let look = GuardRequest { most_wait: Some(Duration::ZERO), ..request(1) };
+fn busy_link_refused() {
+    let attempt = GuardRequest { most_wait: Some(Duration::ZERO), ..request(1) };
     let takes = Duration::from_millis(70);
     let link = LinkAhead { wait: Duration::ZERO, takes, coming: 1 };
-    assert_eq!(consider(&look, &link), Ok(()));
+    assert_eq!(consider(&attempt, &link), Ok(()));
     let waits = LinkAhead { wait: takes, ..link };
-    assert_eq!(consider(&look, &waits), Err(RefusalReason::Busy));
+    assert_eq!(consider(&attempt, &waits), Err(RefusalReason::Busy));
     assert_eq!(consider(&request(1), &waits), Ok(()));
     let takes_all_slots = LinkAhead { coming: 9, ..link };
-    assert_eq!(consider(&look, &takes_all_slots), Err(RefusalReason::Busy));
+    assert_eq!(consider(&attempt, &takes_all_slots), Err(RefusalReason::Busy));
 }
 
 /// Guards against uploads taken in that cannot be here in time.
--- a/components/decide/tests/urgent_queue.rs
+++ b/components/decide/tests/urgent_queue.rs
@@ -246,7 +246,7 @@
 
 /// A request that may not wait is told at once, whatever the queue, so that it can look elsewhere.
 #[test]
-fn look_for_slot() {
+fn no_wait_refused() {
     let mut guard = AdmissionGuard::new(settings(QueueOrder::Urgent), Duration::ZERO);
     let mut rng = StdRng::seed_from_u64(1);
     let now = Duration::from_secs(5);
