--- a/components/decide/tests/cold_restart.rs
+++ b/components/decide/tests/cold_restart.rs
@@ -15,9 +15,9 @@
     scenario.cold = true;
     let both = scenario.compare();
     scenario.guard.cold_hold = 0.0;
-    let unheld = scenario.run(Policy::Guarded);
+    let all_slots = scenario.run(Policy::Guarded);
     assert!(both.guarded.good() > 10.0 * both.naive.good(), "the naive version must fail");
-    assert!(both.guarded.good() > unheld.good(), "holding slots back must help");
+    assert!(both.guarded.good() > all_slots.good(), "withholding slots must help");
     expect![[r#"
         guarded
         short 1: sent 29838 good 20498 refused 9340 late 0 p99 67.0ms
@@ -29,5 +29,5 @@
         short 1: sent 29838 good 19093 refused 10714 late 31 p99 86.1ms
         sends 32439
     "#]]
-    .assert_eq(&format!("{both}all slots at once\n{unheld}\n"));
+    .assert_eq(&format!("{both}all slots at once\n{all_slots}\n"));
 }
--- a/components/decide/tests/guard_bounds.rs
+++ b/components/decide/tests/guard_bounds.rs
@@ -38,10 +38,11 @@
     ]
 }
 
-/// What a naive observer notes of each ticket, kept apart from the guard's own counts.
+/// State of each ticket as an observer outside the guard sees it, separate from the guard's own
+/// counts.
 #[derive(Default)]
 struct Observer {
-    asked: HashMap<Ticket, GuardRequest>,
+    offered: HashMap<Ticket, GuardRequest>,
     queued: BTreeSet<Ticket>,
     running: BTreeSet<Ticket>,
     has_drained: bool,
@@ -49,13 +50,13 @@
 
 impl Observer {
     fn start(&mut self, ticket: Ticket, now: Duration) {
-        let request = &self.asked[&ticket];
+        let request = &self.offered[&ticket];
         assert!(now <= request.deadline, "started after its deadline");
-        assert!(!request.alone || self.running.is_empty(), "a trial began in company");
+        assert!(!request.alone || self.running.is_empty(), "a trial began beside other requests");
         assert!(self.running.insert(ticket), "started twice");
     }
 
-    fn note(&mut self, released: Released, now: Duration) {
+    fn apply(&mut self, released: Released, now: Duration) {
         for ticket in released.start {
             assert!(self.queued.remove(&ticket), "started without being queued");
             self.start(ticket, now);
@@ -75,7 +76,7 @@
 fn run_steps(steps: &[(Step, u64)], settings: GuardSettings) {
     let mut guard = AdmissionGuard::new(settings, Duration::ZERO);
     let mut rng = StdRng::seed_from_u64(7);
-    let mut seen = Observer::default();
+    let mut observer = Observer::default();
     let mut now = Duration::from_secs(1);
     for (step, wait_ms) in steps {
         now += Duration::from_millis(*wait_ms);
@@ -96,15 +97,15 @@
                 };
                 let admission = guard.offer(&request, now, &mut rng);
                 let is_refused = matches!(admission, Admission::Refused(_));
-                assert!(is_refused || !seen.has_drained, "admitted while draining");
+                assert!(is_refused || !observer.has_drained, "admitted while draining");
                 match admission {
                     Admission::Run(ticket) => {
-                        seen.asked.insert(ticket, request);
-                        seen.start(ticket, now);
+                        observer.offered.insert(ticket, request);
+                        observer.start(ticket, now);
                     }
                     Admission::Queued(ticket) => {
-                        seen.asked.insert(ticket, request);
-                        assert!(seen.queued.insert(ticket));
+                        observer.offered.insert(ticket, request);
+                        assert!(observer.queued.insert(ticket));
                     }
                     Admission::Refused(refusal) => {
                         assert!(
@@ -114,41 +115,47 @@
                 }
             }
             Step::Finish(index) => {
-                if let Some(ticket) = seen.nth(index, false) {
-                    seen.running.remove(&ticket);
-                    seen.note(guard.finish(ticket, now), now);
+                if let Some(ticket) = observer.nth(index, false) {
+                    observer.running.remove(&ticket);
+                    observer.apply(guard.finish(ticket, now), now);
                     assert_eq!(guard.finish(ticket, now), Released::default(), "ended twice");
                 }
             }
             Step::Cancel(index) => {
-                if let Some(ticket) = seen.nth(index, true) {
-                    seen.running.remove(&ticket);
-                    seen.queued.remove(&ticket);
-                    seen.note(guard.cancel(ticket, now), now);
+                if let Some(ticket) = observer.nth(index, true) {
+                    observer.running.remove(&ticket);
+                    observer.queued.remove(&ticket);
+                    observer.apply(guard.cancel(ticket, now), now);
                 }
             }
             Step::Expire => {
-                seen.note(guard.expire(now), now);
-                assert!(guard.next_expiry().is_none_or(|at| at > now), "a timer would spin");
+                observer.apply(guard.expire(now), now);
+                assert!(
+                    guard.next_expiry().is_none_or(|at| at > now),
+                    "a timer would fire without end"
+                );
             }
             Step::Drain => {
-                seen.note(guard.drain(), now);
-                seen.has_drained = true;
-                assert!(seen.queued.is_empty());
+                observer.apply(guard.drain(), now);
+                observer.has_drained = true;
+                assert!(observer.queued.is_empty());
             }
         }
         let state = guard.state(now);
-        assert_eq!(state.running.iter().sum::<u32>() as usize, seen.running.len());
-        assert!(seen.running.len() <= settings.slots as usize);
+        assert_eq!(state.running.iter().sum::<u32>() as usize, observer.running.len());
+        assert!(observer.running.len() <= settings.slots as usize);
         assert!(state.queued[0] <= settings.short_queue && state.queued[1] <= settings.long_queue);
         // One more than the two queues: the trial that waits for an empty server.
         let bound = settings.short_queue + settings.long_queue + 1;
-        assert!(seen.queued.len() <= bound as usize);
-        assert!(guard.next_expiry().is_some() || seen.queued.is_empty(), "nothing ends the wait");
-        let has_trial = seen.running.iter().any(|ticket| guard.is_trial(*ticket));
-        assert!(!has_trial || seen.running.len() == 1, "a trial has company");
-        let waits = !seen.queued.is_empty();
-        assert!(!waits || !seen.running.is_empty(), "requests wait on an idle server");
+        assert!(observer.queued.len() <= bound as usize);
+        assert!(
+            guard.next_expiry().is_some() || observer.queued.is_empty(),
+            "nothing ends the wait"
+        );
+        let has_trial = observer.running.iter().any(|ticket| guard.is_trial(*ticket));
+        assert!(!has_trial || observer.running.len() == 1, "a trial runs beside other requests");
+        let waits = !observer.queued.is_empty();
+        assert!(!waits || !observer.running.is_empty(), "requests wait on an idle server");
     }
 }
 
@@ -156,7 +163,8 @@
     #![proptest_config(fixed_seed::config())]
 
     /// A guard that miscounts leaks slots until the server stands idle, or lets more run than the
-    /// server has slots for. Callers notice refusals by an idle server, or ever slower answers.
+    /// server has slots for. Callers notice refusals by an idle server, or slower and slower
+    /// answers.
     #[test]
     fn tickets_end_once(steps in prop::collection::vec((any_step(), 0..60_u64), 1..120)) {
         run_steps(&steps, SETTINGS());
--- a/components/decide/tests/idle_limits.rs
+++ b/components/decide/tests/idle_limits.rs
@@ -1,4 +1,4 @@
-//! Connections that a server forgot.
+//! Idle connections that a server dropped silently.
 
 use std::time::Duration;
 
@@ -8,9 +8,9 @@
     Duration::from_millis(millis)
 }
 
-/// A server forgets connections that were idle for a third of a second, though it says ten. The next
-/// request on one is reset; those that follow must not be sent on others as old, and once the server
-/// keeps them again, connections are used as before.
+/// A server drops connections that were idle for a third of a second, though it announces ten. The
+/// next request on one is reset; those that follow must not be sent on others as old, and once the
+/// server keeps them again, connections are used as before.
 #[test]
 fn server_drops_idle() {
     let mut limits = IdleTrust::default();
@@ -22,8 +22,8 @@
     assert_eq!(limits.limit(true, now + millis(60_000)), IDLE_LIMIT);
 }
 
-/// A confirmation on a connection that the server has forgotten is lost: nobody can tell whether it
-/// ran. It is sent on connections that were in use just now, whatever is known.
+/// A confirmation on a connection that the server has dropped is lost: nobody can tell whether it
+/// ran. It is only sent on connections that were in use just now, whatever else is known.
 #[test]
 fn run_once_work() {
     let mut limits = IdleTrust::default();
@@ -33,7 +33,7 @@
     assert_eq!(limits.limit(false, now), millis(50));
 }
 
-/// A server dies, or breaks off some of its answers. That says nothing of connections that wait, and
+/// A server dies, or breaks off some of its answers. That shows nothing about idle connections, and
 /// must not make each request open one of its own.
 #[test]
 fn reset_in_use() {
--- a/components/decide/tests/link_limit.rs
+++ b/components/decide/tests/link_limit.rs
@@ -15,7 +15,7 @@
 /// Milliseconds of the whole link that a document takes: 90 KB at 5 Mbit/s.
 const LINK_MS: f64 = 140.0;
 
-/// A document that was admitted: at the server, then on the link.
+/// An admitted document: at the server, then on the link.
 struct Document {
     came: u64,
     ready_at: u64,
@@ -45,7 +45,7 @@
     }
 }
 
-/// Plays documents that come evenly, `per_second`, for ten seconds.
+/// Simulates documents that come evenly, `per_second`, for ten seconds.
 fn simulate(per_second: u64, informs_guard: bool) -> SimulationResult {
     let settings =
         GuardSettings { order: QueueOrder::Urgent, long_queue: 48, ..GuardSettings::default() };
@@ -118,9 +118,10 @@
     result.refused += released.refused.drain(..).count() as u32;
 }
 
-/// Twelve documents a second come to a server that could do sixty, on a link that carries seven. A guard
-/// that sees free slots takes them in, and nearly all are late. One that is told that answers wait for
-/// the link keeps as many as it carries in time, and refuses the others while they can come back.
+/// Twelve documents a second come to a server that could do sixty, on a link that carries seven. A
+/// guard that sees only free slots admits them, and nearly all are late. A guard that knows how
+/// many answers wait for the link admits as many as it carries in time, and refuses the others
+/// while they can come back.
 #[test]
 fn link_below_server() {
     let summary = |result: &SimulationResult| {
@@ -136,7 +137,7 @@
     .assert_eq(&format!("by slots: {}\nby the link: {}\n", summary(&naive), summary(&informed)));
 }
 
-/// The link is not full. Nothing is refused and nothing late, whatever the guard is told.
+/// The link is not full. Nothing is refused and nothing late, whatever the guard knows.
 #[test]
 fn free_link() {
     let result = simulate(4, true);
--- a/components/decide/tests/link_permits.rs
+++ b/components/decide/tests/link_permits.rs
@@ -8,11 +8,11 @@
 /// Bytes that the link carries in a millisecond: 18 Mbit/s.
 const LINK: u64 = 2_300;
 const DOCUMENT: u64 = 280_000;
-/// Bytes of one answer that are on the way, which a short answer stands behind.
+/// Bytes of one answer in transit, which a short answer waits behind.
 const WINDOW: u64 = 64_000;
 const GOAL_MS: u64 = 800;
 
-/// A document on its way: bytes left, and whether its receiver takes any.
+/// A document being sent: bytes left, and whether its receiver takes any.
 struct Document {
     id: TransferId,
     came: u64,
@@ -24,12 +24,12 @@
 struct SimulationResult {
     in_time: usize,
     sent: usize,
-    /// Longest time that a short answer stood behind documents.
+    /// Longest time that a short answer waits behind documents.
     short_ms: u64,
 }
 
-/// Plays documents that come at given milliseconds. The link divides its bytes evenly among those
-/// that send.
+/// Simulates documents that come at given milliseconds. The link divides its bytes evenly among
+/// those that send.
 fn simulate(arrivals: &[(u64, bool)], has_permits: bool, end: u64) -> SimulationResult {
     let mut queue = TransferQueue::default();
     let mut open: BTreeMap<usize, Document> = BTreeMap::new();
@@ -45,7 +45,7 @@
         }
         let mut sending = Vec::new();
         for (index, document) in &open {
-            // One that stands still has had its first window taken, and asks no more.
+            // A stalled receiver has taken its first window, and its document asks no more.
             let asks = !document.is_stalled || document.left > DOCUMENT - WINDOW;
             if asks && (!has_permits || queue.ask(document.id, time) == TransferTurn::Go) {
                 sending.push(*index);
@@ -70,9 +70,9 @@
     result
 }
 
-/// Twelve documents become ready within a tenth of a second on a link that carries eight in a second.
-/// Sent all at once, every caller gets the last byte after the goal, and a short answer that another
-/// request waits for stands behind a third of a second of documents.
+/// Twelve documents become ready within a tenth of a second on a link that carries eight in a
+/// second. Sent all at once, every one arrives after the goal, and a short answer that another
+/// request waits for is late by a third of a second.
 #[test]
 fn burst_of_documents() {
     let arrivals: Vec<_> = (0..12).map(|index| (index * 8, false)).collect();
@@ -88,8 +88,8 @@
     .assert_eq(&format!("all at once: {}\nin turns: {}\n", summary(&naive), summary(&permits)));
 }
 
-/// Two receivers take nothing any more: one lost its power, one is a caller that stopped to read.
-/// The answers to all others must not wait for their deadlines.
+/// Two receivers take nothing any more: one lost its power, one is a caller that stopped reading.
+/// The answers to all others must not wait for the deadlines of these.
 #[test]
 fn stalled_receivers() {
     let arrivals = [(0, true), (0, true), (10, false), (20, false), (30, false)];
--- a/components/decide/tests/model/mod.rs
+++ b/components/decide/tests/model/mod.rs
@@ -1,8 +1,8 @@
 //! A small discrete-event model: callers send calls through daemons to servers, either by the
 //! decisions of this crate or naively: round robin, an unbounded queue, three blind retries.
 //!
-//! The network takes no time. A server runs as many calls at once as it has slots; a call that was
-//! given up by its caller still runs to its end under the naive policy.
+//! The network takes no time. A server runs as many calls at once as it has slots; under the naive
+//! policy a call that its caller has given up still runs to its end.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 use std::cmp::Reverse;
@@ -46,7 +46,7 @@
     pub until: Duration,
 }
 
-/// Five servers with default guards, and what befalls them.
+/// Five servers with default guards, and the faults that they meet.
 #[derive(Clone, Debug, Default)]
 pub struct Scenario {
     pub loads: Vec<Load>,
@@ -81,7 +81,7 @@
         Comparison { guarded: self.run(Policy::Guarded), naive: self.run(Policy::Naive) }
     }
 
-    /// Gives how much longer work takes on a server that runs so many calls.
+    /// Returns the factor by which work takes longer on a server that runs `running` calls.
     fn slowdown(&self, server: usize, running: u32, now: Duration) -> f64 {
         let slow = self.slow.filter(|(slow, _)| *slow == server).map_or(1.0, |(_, factor)| factor);
         let busy = f64::from(running) / f64::from(self.guard.slots);
@@ -119,7 +119,7 @@
     Attempt(usize),
     /// A call ends on a server.
     Done(usize, usize),
-    /// A naive caller's patience ends, for its so manieth attempt.
+    /// A naive caller gives up the attempt of this number.
     GiveUp(usize, u8),
     Expire(usize),
 }
@@ -148,7 +148,7 @@
     scenario: &'a Scenario,
     policy: Policy,
     rng: StdRng,
-    /// Apart from `rng`, so that both policies get the same calls.
+    /// Separate from `rng`, so that both policies get the same calls.
     arrivals: StdRng,
     now: Duration,
     events: BinaryHeap<Reverse<(Duration, u64, Event)>>,
@@ -328,7 +328,7 @@
             let overrun = self.now.saturating_sub(due + took);
             self.report.worst_overrun = self.report.worst_overrun.max(overrun);
         } else if let Some(next) = self.servers[server].fifo.pop_front() {
-            // The naive server runs what its queue holds, wanted or not.
+            // The naive server runs what its queue contains, even if no caller waits for it.
             self.start(server, next, None);
         }
         self.end(index, true);
--- a/components/decide/tests/model/report.rs
+++ b/components/decide/tests/model/report.rs
@@ -1,4 +1,4 @@
-//! What callers saw.
+//! Outcomes that callers saw.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,8 +8,7 @@
 
 use super::Load;
 
-/// The calls of one caller: answered within the deadline, told before it that there will be no
-/// answer, and the rest.
+/// The calls of one caller: answered within the deadline, refused within it, and the rest.
 #[derive(Clone, Debug, Default, Display)]
 #[display("sent {sent} good {good} refused {refused} late {late} p99 {:.1?}", self.p99())]
 pub struct Tally {
@@ -40,9 +39,9 @@
 #[display("{}sends {sends}", self.lines())]
 pub struct Report {
     pub tallies: BTreeMap<(bool, u64), Tally>,
-    /// Attempts that reached for a server.
+    /// Attempts to reach a server.
     pub sends: u32,
-    /// Refusals of calls that had been queued, by which time was lost for going elsewhere.
+    /// Refusals of calls that had been queued, and so had lost time for going elsewhere.
     pub queued_refusals: u32,
     /// Most by which an admitted call missed its deadline beyond its own service time.
     pub worst_overrun: Duration,
--- a/components/decide/tests/own_data_centre.rs
+++ b/components/decide/tests/own_data_centre.rs
@@ -66,9 +66,9 @@
     table.choose(request, now, &mut rng).expect("an endpoint").endpoint()
 }
 
-/// The near server has just got uploads, which take it three times as long as alerts. With one time for
-/// both, it looks too slow for an alert's goal, and nearly all alerts leave a data centre whose own
-/// server is idle.
+/// The near server has just got uploads, which take it three times as long as alerts. With one time
+/// for both kinds it looks too slow for an alert's goal, and nearly all alerts leave a data centre
+/// whose own server is idle.
 #[test]
 fn separate_work_kinds() {
     let table = two_centres();
@@ -80,8 +80,9 @@
     assert_eq!(place(&table, &attempt(ALERT, 5_000, 100), now), NEAR);
 }
 
-/// All near slots are taken for a moment. An upload of 60 kilobytes that would be in time after a short
-/// wait stays; a look-up of one goes where a slot is free at once, since its bytes are not worth a wait.
+/// All near slots are taken for a moment. An upload of 60 kilobytes that would be in time after a
+/// short wait stays; a small request goes where a slot is free at once, since its bytes are not
+/// worth a wait.
 #[test]
 fn large_upload_waits() {
     let table = two_centres();
@@ -92,12 +93,12 @@
     table.note_wait(NEAR, millis(40), now);
     assert_eq!(place(&table, &attempt(UPLOAD, 60_000, 300), now), NEAR);
     assert_eq!(place(&table, &attempt(UPLOAD, 1_000, 300), now), FAR);
-    // Bytes are not worth a goal.
+    // Bytes are not worth a missed goal.
     assert_eq!(place(&table, &attempt(UPLOAD, 60_000, 130), now), FAR);
 }
 
-/// A request waits near by for a moment, and more urgent ones keep coming. It must not be held there
-/// while slots are free elsewhere, and is handed back as not run.
+/// A request waits near by for a short time, and more urgent ones keep coming. It must not be kept
+/// there while slots are free elsewhere, and is handed back as not run.
 #[test]
 fn handed_back() {
     let settings =
@@ -116,19 +117,19 @@
         most_wait,
     };
     assert!(matches!(guard.offer(&request(1, None), now, &mut rng), Admission::Run(_)));
-    let moment = request(2, Some(millis(20)));
-    let Admission::Queued(ticket) = guard.offer(&moment, now, &mut rng) else {
-        panic!("a slot is expected within the moment")
+    let brief = request(2, Some(millis(20)));
+    let Admission::Queued(ticket) = guard.offer(&brief, now, &mut rng) else {
+        panic!("a slot is expected within the time it may wait")
     };
     assert!(matches!(guard.offer(&request(0, None), now, &mut rng), Admission::Queued(_)));
-    assert_eq!(guard.next_expiry(), Some(now + millis(40)), "twice the moment");
+    assert_eq!(guard.next_expiry(), Some(now + millis(40)), "twice the time it may wait");
     let released = guard.expire(now + millis(40));
     assert_eq!(released.refused, [(ticket, RefusalReason::Busy)]);
 }
 
-/// A call that every server of a service needs fails for half of their requests. Held against the near
-/// servers alone, as far as each daemon had seen it, it sent requests to another data centre, where as many
-/// fail; one that fails while its peers do not is still left out.
+/// A call that every server of a service needs fails for half of their requests. Counted against
+/// the near servers alone, it would send requests to another data centre, where as many fail. A
+/// server that fails while its peers do not is still avoided.
 #[test]
 fn common_failures() {
     let table = two_centres();
@@ -137,7 +138,8 @@
         for index in 0..12 {
             let outcome = if index % 2 == 0 { CallOutcome::Success } else { CallOutcome::Failure };
             let exclude = [1 - id];
-            let request = PlaceRequest { exclude: &exclude, wants_slot: false, ..attempt(1, 0, 300) };
+            let request =
+                PlaceRequest { exclude: &exclude, wants_slot: false, ..attempt(1, 0, 300) };
             let placed = table.choose(&request, now, &mut StdRng::seed_from_u64(3));
             placed.expect("the one that is left").finish(outcome, millis(60), now);
         }
--- a/components/decide/tests/pacing_storm.rs
+++ b/components/decide/tests/pacing_storm.rs
@@ -34,9 +34,9 @@
     assert_eq!(pacer.ask(micros(100_000)), ConnectVerdict::Open);
 }
 
-/// All daemons return at once and fetch the whole configuration. The gate bounds how many are
-/// served at a time; here each tries until it is served. A fixed return time fails in the same
-/// run: its clients come back together and are turned away together.
+/// All daemons return at once and fetch the whole configuration. The gate limits how many are
+/// served at a time; here each tries until it is served. A fixed return time fails in the same run:
+/// its clients come back together and are sent away together.
 #[test]
 fn reconnect_storm() {
     let (gate, gate_tries) = storm(None);
@@ -54,7 +54,7 @@
     ));
 }
 
-/// Gives the time at which the last of 780 is served and how often they tried.
+/// Returns the time at which the last of 780 is served and how often they tried.
 fn storm(fixed: Option<Duration>) -> (Duration, u32) {
     let mut gate = FetchGate::new(GateSettings::default());
     let mut rng = StdRng::seed_from_u64(1);
@@ -80,8 +80,8 @@
     (last, tries)
 }
 
-/// A route leads back to where the call came from. Without a bound it circles until its deadline,
-/// and a few such calls fill every slot on their way.
+/// A route leads back to where the call came from. Without a limit the call circles until its
+/// deadline, and a few such calls fill every slot that they pass.
 #[test]
 fn routing_loop() {
     let mut context = CallContext::fresh(Duration::from_secs(10));
--- a/components/decide/tests/placing_rules.rs
+++ b/components/decide/tests/placing_rules.rs
@@ -1,4 +1,4 @@
-//! The rules of placing, one by one.
+//! The rules of placement, one by one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -35,7 +35,7 @@
     Duration::from_secs(count)
 }
 
-/// Places calls that end at once and gives how many each endpoint got.
+/// Places calls that end at once and returns how many each endpoint got.
 fn distribution(table: &Arc<PlacementTable>, calls: u32, now: Duration) -> [u32; 8] {
     let mut rng = StdRng::seed_from_u64(1);
     let mut counts = [0; 8];
@@ -59,8 +59,8 @@
     table.states(now).iter().filter(|state| state.is_ejected).count()
 }
 
-/// All servers fail at once, as when a database behind them is gone. Setting all aside would turn
-/// slow failures into no service at all, which stays when the database is back.
+/// All servers fail at once, as when a database behind them is gone. Ejecting all of them would
+/// turn slow failures into no service at all, which lasts when the database is back.
 #[test]
 fn ejection_limit() {
     let now = seconds(1);
@@ -74,7 +74,8 @@
     }
 }
 
-/// Healthy endpoints leave while others are set aside. The portion aside must come down with them.
+/// Healthy endpoints leave while others are ejected. The number of ejected ones must come down with
+/// them.
 #[test]
 fn shrunken_service() {
     let now = seconds(1);
@@ -86,14 +87,14 @@
     assert_eq!(ejected_count(&full.rebuild(&records[..1], now), now), 0);
 }
 
-/// An endpoint comes back from its time aside. If all requests tried it at once, a server that is
-/// still broken would fail them all.
+/// The ejection of an endpoint runs out. If all requests tried it at once, a server that is still
+/// broken would fail them all.
 #[test]
 fn single_probe() {
     let (now, later) = (seconds(1), seconds(7));
     let table = table(&[record(0), record(1), record(2)], now);
     (0..2).for_each(|_| fail(&table, 0, CallOutcome::Unreachable, now));
-    assert_eq!(distribution(&table, 300, now)[0], 0, "set aside");
+    assert_eq!(distribution(&table, 300, now)[0], 0, "ejected");
     let mut rng = StdRng::seed_from_u64(1);
     let once_only = PlaceRequest { may_probe: false, ..ANY };
     let call = table.choose(&once_only, later, &mut rng).expect("others are left");
@@ -102,15 +103,16 @@
     assert!(probe.is_probe() && probe.endpoint() == 0);
     assert_eq!(distribution(&table, 300, later)[0], 0, "one probe at a time");
     probe.finish(CallOutcome::Failure, Duration::ZERO, later);
-    assert_eq!(distribution(&table, 300, later + seconds(9))[0], 0, "aside for twice as long");
+    assert_eq!(distribution(&table, 300, later + seconds(9))[0], 0, "ejected for twice as long");
     let again = later + seconds(10);
     let probe = table.choose(&ANY, again, &mut rng).expect("the probe is due");
     probe.finish(CallOutcome::Success, Duration::from_millis(1), again);
-    let share = distribution(&table, 3000, again)[0];
-    assert!((1..300).contains(&share), "back and cold: {share} of 3000");
+    let cold = distribution(&table, 3000, again)[0];
+    assert!((1..300).contains(&cold), "reinstated and cold: {cold} of 3000");
 }
 
-/// All others were tried. The endpoint set aside is a better answer than none, but by one request.
+/// All other endpoints were tried. The ejected one is a better answer than none, but by one request
+/// only.
 #[test]
 fn last_resort() {
     let now = seconds(1);
@@ -124,7 +126,7 @@
     assert_eq!(second.err(), Some(PlaceError::AllExcluded));
 }
 
-/// A server drains, and its guard says so before membership has spread it. Requests placed there
+/// A server drains, and its guard reports it before the membership does. Requests placed there
 /// meanwhile are refused and each costs a retry.
 #[test]
 fn leaving_server() {
@@ -134,32 +136,33 @@
     assert_eq!(distribution(&table, 300, now + seconds(3600))[0], 0);
     fail(&table, 1, CallOutcome::Leaving, now);
     (0..6).for_each(|_| fail(&table, 2, CallOutcome::Failure, now));
-    assert_eq!(distribution(&table, 300, now)[2], 300, "the last one that stays is not set aside");
+    assert_eq!(distribution(&table, 300, now)[2], 300, "the last one that stays is not ejected");
 }
 
-/// A new process at an old address. With the old one's counts it would look loaded for good, and
-/// with its record it would stay set aside though it is a healthy server.
+/// A new process runs at an old address. With the counts of the old one it would look loaded for
+/// good, and with its history it would stay ejected though it is a healthy server.
 #[test]
 fn new_incarnation() {
     let now = seconds(1);
     let old = table(&[record(0), record(1)], now);
     let mut rng = StdRng::seed_from_u64(1);
     let request = PlaceRequest { exclude: &[1], ..ANY };
-    let held: Vec<_> = (0..5).map(|_| old.choose(&request, now, &mut rng)).collect();
+    let calls: Vec<_> = (0..5).map(|_| old.choose(&request, now, &mut rng)).collect();
     let restarted = EndpointRecord { incarnation: 2, age: Duration::ZERO, ..record(0) };
     let new = Arc::new(old.rebuild(&[restarted, record(1)], now));
     assert_eq!(new.states(now)[0].in_flight, 0);
     assert_eq!(old.rebuild(&[record(0), record(1)], now).states(now)[0].in_flight, 5);
-    drop(held);
+    drop(calls);
     assert_eq!((old.states(now)[0].in_flight, new.states(now)[0].in_flight), (0, 0));
     let cold = distribution(&new, 3000, now)[0];
-    assert!((150..450).contains(&cold), "a tenth of a share: {cold} of 3000");
+    assert!((150..450).contains(&cold), "a tenth of its slots: {cold} of 3000");
     let warm = distribution(&new, 3000, now + seconds(40))[0];
-    assert!((1300..1700).contains(&warm), "the whole share: {warm} of 3000");
+    assert!((1300..1700).contains(&warm), "all of its slots: {warm} of 3000");
 }
 
-/// What a server says of its load may take share away and is forgotten soon: a server whose report
-/// is stuck at full would otherwise idle, and one stuck at idle must gain nothing.
+/// The load that a server reports lowers the slots counted on at it, and only for a short time: a
+/// server whose report is stuck at full would otherwise idle, and one stuck at idle must gain
+/// nothing.
 #[test]
 fn load_hints() {
     let now = seconds(1);
@@ -172,27 +175,28 @@
     assert!((1300..1700).contains(&distribution(&table, 3000, now + seconds(2))[0]), "expired");
 }
 
-/// Requests stay in their data centre until it is loaded, and then leave by degrees: without spill
-/// they queue at home beside idle servers, with a sharp threshold whole centres swing.
+/// Requests stay in their data centre until it is loaded, and then leave by degrees: without the
+/// spill they queue near by while servers elsewhere are idle; with a sharp threshold the load of
+/// whole data centres swings back and forth.
 #[test]
 fn centre_spill() {
     let now = seconds(1);
     let distance = EndpointDistance::SameRegion;
     let table = table(&[record(0), EndpointRecord { distance, ..record(1) }], now);
     let mut rng = StdRng::seed_from_u64(1);
-    let mut held = Vec::new();
+    let mut calls = Vec::new();
     let mut spilled_at = Vec::new();
     for count in 0..20 {
         let call = table.choose(&ANY, now, &mut rng).expect("an endpoint is left");
         spilled_at.extend((call.endpoint() == 1).then_some(count));
-        held.push(call);
+        calls.push(call);
     }
-    assert!(spilled_at[0] >= 8, "at home up to 70 %: {spilled_at:?}");
-    assert!(table.states(now)[0].in_flight <= 12, "none beyond the slots at home");
+    assert!(spilled_at[0] >= 8, "near by up to 70 %: {spilled_at:?}");
+    assert!(table.states(now)[0].in_flight <= 12, "none beyond the slots near by");
 }
 
-/// Threads place calls while failures set endpoints aside. The cap must hold at every moment, and
-/// no count may be lost, or an endpoint would look loaded for good.
+/// Threads place calls while failures eject endpoints. The limit must apply at every moment, and no
+/// count may be lost, or an endpoint would look loaded for good.
 #[test]
 fn many_threads() {
     let now = seconds(1);
--- a/components/decide/tests/quarantine_merge.rs
+++ b/components/decide/tests/quarantine_merge.rs
@@ -21,7 +21,8 @@
             in_flight,
             is_trial
         }),
-        (0..5_u64, 0..12_u64).prop_map(|(fingerprint, at)| HistoryEvent::Success { fingerprint, at }),
+        (0..5_u64, 0..12_u64)
+            .prop_map(|(fingerprint, at)| HistoryEvent::Success { fingerprint, at }),
     ];
     prop::collection::vec(event, 0..12)
 }
@@ -66,10 +67,10 @@
         prop_assert_eq!(merged(&[&a, &b, &a, &c, &c]).export(), whole.export(), "idempotent");
         let right = merged(&[&b, &c]);
         prop_assert_eq!(merged(&[&a, &right]).export(), whole.export(), "associative");
-        let mut settled = whole.clone();
-        settled.take_changed();
-        settled.merge(&whole.export());
-        prop_assert!(settled.take_changed().is_empty(), "an exchange comes to rest");
+        let mut merged_again = whole.clone();
+        merged_again.take_changed();
+        merged_again.merge(&whole.export());
+        prop_assert!(merged_again.take_changed().is_empty(), "an exchange comes to an end");
         for record in whole.export() {
             prop_assert!(record.evidence.len() <= 4);
         }
--- a/components/decide/tests/quarantine_trials.rs
+++ b/components/decide/tests/quarantine_trials.rs
@@ -1,4 +1,4 @@
-//! A request that crashes its servers, and the innocent requests beside it.
+//! A request that crashes its servers, and the innocent requests in flight beside it.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -22,7 +22,7 @@
     table.record_crash(&CrashReport { occasion, at, in_flight, is_trial });
 }
 
-/// Refuses what was near two crashes, as a plain count would.
+/// Refuses requests that were in flight at two crashes, as a plain count does.
 #[derive(Default)]
 struct NaiveCount(HashMap<Fingerprint, u32>);
 
@@ -37,7 +37,7 @@
 }
 
 /// One request crashes each server that runs it and its caller sends it again. Without a check it
-/// takes down one server after the other, and callers see the whole service go.
+/// takes down one server after the other, until the whole service is gone.
 #[test]
 fn second_crash() {
     let mut table = new_table();
@@ -53,20 +53,20 @@
     assert!(table.is_empty());
 }
 
-/// Much used requests are in flight at every crash, and rarer ones are sent again by their callers
+/// Frequent requests are in flight at every crash, and rarer ones are sent again by their callers
 /// just when the crashing one is. A rule that counts crashes refuses them all, and callers who did
 /// nothing wrong get no answer for minutes.
 #[test]
 fn innocent_requests() {
     let (mut table, mut naive) = (new_table(), NaiveCount::default());
     for occasion in 1..6 {
-        let company = [POISON, 1, 2, 100 + occasion, 200 + occasion];
-        crash(&mut table, occasion, &company, false);
-        naive.crash(&company);
+        let in_flight = [POISON, 1, 2, 100 + occasion, 200 + occasion];
+        crash(&mut table, occasion, &in_flight, false);
+        naive.crash(&in_flight);
     }
     for innocent in [1, 2, 101, 203] {
         let verdict = table.judge(innocent, seconds(6));
-        assert_eq!(verdict, QuarantineVerdict::TryAlone, "held suspect, not refused");
+        assert_eq!(verdict, QuarantineVerdict::TryAlone, "a suspect, not refused");
     }
     assert!(naive.refuses(1) && naive.refuses(2), "the naive version refuses innocent requests");
     // The trial of an innocent request succeeds; that of the crashing one convicts it.
@@ -95,8 +95,8 @@
     assert_eq!(here.judge(1, seconds(9)), QuarantineVerdict::TryAlone);
 }
 
-/// Two crashes with nothing else in flight, before the other daemon heard of the first. They
-/// convict without a trial; a single one, say of a server stopped by hand, does not.
+/// Two crashes with nothing else in flight, the second before its daemon knew of the first. They
+/// convict without a trial; a single one, as of a server stopped by hand, does not.
 #[test]
 fn alone_twice() {
     let mut table = new_table();
@@ -106,7 +106,7 @@
     assert!(matches!(table.judge(POISON, seconds(2)), QuarantineVerdict::Refused(_)));
 }
 
-/// Crashes in number must not fill the daemon's memory. The oldest are forgotten first.
+/// Many crashes must not fill the daemon's memory. The oldest are dropped first.
 #[test]
 fn bounded_table() {
     let settings = QuarantineSettings { capacity: 8, ..QuarantineSettings::default() };
--- a/components/decide/tests/retry_storm.rs
+++ b/components/decide/tests/retry_storm.rs
@@ -17,7 +17,7 @@
 use model::{Scenario, millis, short_load};
 
 /// Two servers of five are gone for three seconds and the others can just not carry the load. Blind
-/// retries and the copies of calls that timed out keep them full after the two are back.
+/// retries and the copies of calls that timed out keep the others full after the two are back.
 #[test]
 fn partial_outage() {
     let mut scenario = Scenario::default();
@@ -49,7 +49,8 @@
     }
 }
 
-/// Sends a call down to the last layer, where all fails, and gives the sends that arrive there.
+/// Sends a call down to the last layer, where all fails, and returns the number of sends that
+/// arrive there.
 fn sends_below(context: &CallContext, budgets: &[RetryBudget], rng: &mut StdRng) -> u64 {
     let Some((budget, below)) = budgets.split_first() else { return 1 };
     let now = Duration::ZERO;
@@ -91,9 +92,9 @@
     ));
 }
 
-/// A server of a large fleet fails some of what it gets, and each daemon sees two of the failures.
-/// Shared among a hundred daemons the burst is less than a retry for each. Callers would get every
-/// failure, although requests enough have paid in for each to be tried again.
+/// A server of a large fleet fails some of its requests, and each daemon sees two of the failures.
+/// Divided among a hundred daemons the burst is less than a retry for each. Callers would get every
+/// failure, although enough requests have paid in for each failed one to be tried again.
 #[test]
 fn many_daemons() {
     const DAEMONS: usize = 100;
@@ -117,7 +118,7 @@
     assert!(granted * 1000 <= 45_000 + 140 * DAEMONS * ATTEMPTS, "what was paid in bounds them");
 }
 
-/// What may have run is not sent again, unless it may run twice. A caller would otherwise find a
+/// What may have run is not sent again, unless it may run twice. Otherwise a caller would find a
 /// reservation made two times.
 #[test]
 fn verdict_order() {
@@ -173,7 +174,8 @@
                 attempts += u64::from(*is_attempt);
                 granted += u64::from(*is_granted);
                 let span = (*at - history[first].0).as_millis() as u64;
-                // The floor's first millisecond counts whole, and is paid in when next asked.
+                // The first millisecond of the floor counts whole, and is paid in at the next
+                // request for a retry.
                 let since = if first == 0 { 0 } else { history[first - 1].0.as_millis() as u64 };
                 let idle = history[first].0.as_millis() as u64 - since;
                 let paid = (span + idle + 1) * settings.floor / 1000 + 1;
--- a/components/decide/tests/saturation.rs
+++ b/components/decide/tests/saturation.rs
@@ -41,7 +41,7 @@
     let from = Duration::from_secs(1);
     let burst = Load { flow: 2, from, ..short_load(2.4 * capacity, 3) };
     scenario.loads = vec![short_load(0.6 * capacity, 8), burst];
-    // Counts from two seconds after the burst.
+    // Calls count from two seconds after the burst.
     scenario.counted_from = Duration::from_secs(5);
     let both = scenario.compare();
     assert!(both.guarded.short(1).good_share() >= 0.999);
@@ -57,8 +57,8 @@
     .assert_eq(&both.to_string());
 }
 
-/// Calls come at twice the capacity with little more time than their service takes. Those that were
-/// queued in vain learn of their refusal when it is too late to go elsewhere.
+/// Calls come at twice the capacity with little more time than their service takes. Calls that are
+/// queued in vain are refused when it is too late to go elsewhere.
 #[test]
 fn tight_deadlines() {
     let mut scenario = Scenario::default();
@@ -67,15 +67,15 @@
         .map(|flow| Load { flow, rate: load.rate / 10.0, deadline: millis(25), ..load })
         .collect();
     let both = scenario.compare();
-    let held = f64::from(both.guarded.queued_refusals) / f64::from(both.guarded.sends);
-    assert!(held <= 0.01, "{held}");
+    let queued_in_vain = f64::from(both.guarded.queued_refusals) / f64::from(both.guarded.sends);
+    assert!(queued_in_vain <= 0.01, "{queued_in_vain}");
     let in_time = |report: &Report| report.good() / (4.0 * scenario.capacity(millis(10)));
     assert!(in_time(&both.guarded) >= 0.9 && in_time(&both.naive) < 0.9);
     expect![[r#"
         queued in vain 0.009, in time 0.984 of capacity, naive 0.009
     "#]]
     .assert_eq(&format!(
-        "queued in vain {held:.3}, in time {:.3} of capacity, naive {:.3}\n",
+        "queued in vain {queued_in_vain:.3}, in time {:.3} of capacity, naive {:.3}\n",
         in_time(&both.guarded),
         in_time(&both.naive)
     ));
--- a/components/decide/tests/search_limits.rs
+++ b/components/decide/tests/search_limits.rs
@@ -1,4 +1,4 @@
-//! How long a request goes on looking for a server that has room.
+//! How long a request goes on asking for a free slot.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 const GOAL: Option<Duration> = Some(Duration::from_millis(600));
 
-/// Counts the looks of a request that finds every server full, where each refusal takes `took`.
+/// Returns the attempts of a request that finds every server full, where each refusal takes `took`.
 fn attempts(took: Duration, goal: Option<Duration>) -> u64 {
     let mut search = SlotSearch::default();
     let mut attempts = 0;
@@ -17,31 +17,30 @@
     attempts
 }
 
-/// All servers are full for a moment on a fleet that has processor time to spare. Looking round costs
-/// next to nothing and finds the first free slot.
+/// All servers are full for a moment on a fleet that has processor time to spare. Asking several of
+/// them costs next to nothing and finds the first free slot.
 #[test]
 fn quick_refusals() {
     assert_eq!(attempts(Duration::from_millis(4), GOAL), 4);
 }
 
-/// A fleet of small instances is asked for more than it can do. Every daemon takes a tenth of a second
-/// to say that it has no room, since it is busy saying so to others. Each look that is saved is
-/// processor time for an answer; callers would notice by everything being late, also after the load
-/// has gone.
+/// A fleet of small instances is asked for more than it can do. Every daemon takes a tenth of a
+/// second to refuse, since it is busy refusing others. Each attempt that is saved is processor time
+/// for an answer; without the limit everything is late, also after the load has gone.
 #[test]
 fn slow_refusals() {
     assert_eq!(attempts(Duration::from_millis(40), GOAL), 2);
     assert_eq!(attempts(Duration::from_millis(120), GOAL), 1);
 }
 
-/// A request without a goal cannot tell what is long, and keeps the bound on the number.
+/// Without a goal no time counts as too long, and only the number of attempts is limited.
 #[test]
 fn no_goal() {
     assert_eq!(attempts(Duration::from_millis(120), None), 4);
 }
 
-/// Refusals of the second pass, where the request would have queued, count as well: the request is
-/// told to come back, and asks nobody else.
+/// Refusals in the second phase, where the request would have queued, count as well: the request is
+/// sent back to its caller, and asks no other endpoint.
 #[test]
 fn refused_while_queueing() {
     let mut search = SlotSearch::default();
--- a/components/decide/tests/slow_server.rs
+++ b/components/decide/tests/slow_server.rs
@@ -6,9 +6,9 @@
 
 use model::{Policy, Scenario, millis, short_load};
 
-/// A server answers correctly but ten times slower than its peers, say with a failing disk, while
-/// its health endpoint reports it well. Callers whose calls go there wait ten times as long. At
-/// 8 % load a daemon makes 46 calls a second, as it will at full size, and sees little of a server.
+/// A server answers correctly but ten times slower than its peers, as with a failing disk, while
+/// its health endpoint reports it well. Callers whose calls go there wait ten times as long. At 8 %
+/// load a daemon makes 46 calls a second, as it does at full size, and sees little of a server.
 #[test]
 fn slow_peer() {
     let mut golden = String::new();
--- a/components/decide/tests/soonest_answer.rs
+++ b/components/decide/tests/soonest_answer.rs
@@ -1,4 +1,4 @@
-//! Placing by the expected answer, on servers that differ in speed.
+//! Placement by the expected answer, on servers that differ in speed.
 
 use std::{sync::Arc, time::Duration};
 
@@ -81,10 +81,11 @@
         (0..8).for_each(|_| train(&table, id, CallOutcome::Success, millis(took), now));
     }
     assert_eq!(count(&table, &ANY, now), [100, 0, 0]);
-    // It says that it has no slot free: the next best is looked at, and waited for by nobody.
+    // It reports that it has no free slot: the next best is tried, and no request waits for the
+    // first.
     table.note_wait(0, millis(80), now);
     assert_eq!(count(&table, &ANY, now), [0, 100, 0]);
-    // What it said is over when the wait is.
+    // The report counts until the wait is over.
     assert_eq!(count(&table, &ANY, now + millis(90)), [100, 0, 0]);
 }
 
@@ -103,8 +104,8 @@
     assert_eq!(count(&table, &queueing, now), [0, 100]);
 }
 
-/// Bytes between data centres are dear. While the goal is met near by, nothing is sent far; where
-/// it would be missed near by, callers go before bytes.
+/// Bytes between data centres are expensive. While the goal is met near by, nothing is sent far;
+/// where it would be missed near by, callers matter more than bytes.
 #[test]
 fn near_in_time() {
     let table = table(&[EndpointDistance::SameCentre, EndpointDistance::SameRegion]);
@@ -113,8 +114,8 @@
         (0..8).for_each(|_| train(&table, id, CallOutcome::Success, millis(took), now));
     }
     assert_eq!(count(&table, &ANY, now), [100, 0]);
-    let hurried = PlaceRequest { goal: Some(millis(350)), ..ANY };
-    assert_eq!(count(&table, &hurried, now), [0, 100]);
+    let urgent = PlaceRequest { goal: Some(millis(350)), ..ANY };
+    assert_eq!(count(&table, &urgent, now), [0, 100]);
 }
 
 /// A server fails half of its requests while it looks healthy and is near. Callers of requests that
@@ -129,12 +130,12 @@
         train(&table, 1, CallOutcome::Success, millis(200), now);
     }
     assert_eq!(count(&table, &ANY, now), [0, 100]);
-    // It is tried again when the failures are some time ago.
+    // It is tried again when some time has passed since the failures.
     assert_eq!(count(&table, &ANY, now + Duration::from_secs(10)), [100, 0]);
 }
 
-/// A guard sees its server fail before this daemon has lost a request there. Waiting for failures of
-/// its own, each daemon of a fleet would lose two requests to find out the same.
+/// A guard sees its server fail before this daemon has lost a request there. Without the guard's
+/// report, each daemon of a fleet would lose two requests to find out the same.
 #[test]
 fn reported_failures() {
     let table = table(&[EndpointDistance::SameCentre, EndpointDistance::SameRegion]);
@@ -147,8 +148,9 @@
     assert_eq!(count(&table, &ANY, now + Duration::from_secs(10)), [100, 0]);
 }
 
-/// Two servers reset every connection at once, and the others have no slot free. The two are always
-/// free, so that all that the others cannot take would go there and fail, and the retries with it.
+/// One of two servers resets every connection at once, and the other has no free slot. The first
+/// always looks free, so that all requests that the second has no slot for would go there and fail,
+/// and their retries too.
 #[test]
 fn failing_is_not_free() {
     let table = table(&[EndpointDistance::SameCentre; 2]);
@@ -156,12 +158,12 @@
     (0..8).for_each(|_| train(&table, 0, CallOutcome::Success, millis(200), now));
     (0..8).for_each(|_| train(&table, 1, CallOutcome::Failure, millis(2), now));
     table.note_wait(0, millis(150), now);
-    assert_eq!(count(&table, &ANY, now), [0, 0], "no slot is worth having");
+    assert_eq!(count(&table, &ANY, now), [0, 0], "the only free slot is at a failing server");
     let queueing = PlaceRequest { wants_slot: false, ..ANY };
     assert_eq!(count(&table, &queueing, now), [100, 0], "they wait at the one that works");
 }
 
-/// Ends a request at a given endpoint whose answer spent a time on the way.
+/// Ends a request at a given endpoint whose answer spent a time in transit.
 fn train_transit(table: &Arc<PlacementTable>, id: u64, transit: Duration, now: Duration) {
     let others: Vec<u64> = (0..table.len() as u64).filter(|other| *other != id).collect();
     let request = PlaceRequest { exclude: &others, wants_slot: false, ..ANY };
@@ -171,9 +173,9 @@
     placed.finish(CallOutcome::Success, millis(150), now);
 }
 
-/// The link of an instance is full of documents. Its server is quick, its guard has slots free and
-/// says so, and every answer is a third of a second late. Callers of short work would all miss their
-/// goal while other servers are idle.
+/// The link of an instance is full of documents. Its server is quick, its guard has free slots and
+/// reports them, and every answer is a third of a second late. Callers of short work would all miss
+/// their goal while other servers are idle.
 #[test]
 fn full_link() {
     let table = table(&[EndpointDistance::SameCentre, EndpointDistance::SameRegion]);
@@ -181,15 +183,15 @@
     for (id, transit) in [(0, 330), (1, 2)] {
         (0..4).for_each(|_| train_transit(&table, id, millis(transit), now));
     }
-    let hurried = PlaceRequest { goal: Some(millis(400)), ..ANY };
-    assert_eq!(count(&table, &hurried, now), [0, 100]);
-    // Nothing more was heard of it: it is tried again.
+    let urgent = PlaceRequest { goal: Some(millis(400)), ..ANY };
+    assert_eq!(count(&table, &urgent, now), [0, 100]);
+    // No further answer came from it: it is tried again.
     let later = now + Duration::from_secs(20);
-    assert!(count(&table, &hurried, later)[0] > 0);
+    assert!(count(&table, &urgent, later)[0] > 0);
 }
 
-/// A daemon has no processor time left, or lost its power a second ago, and answers nothing. Nobody
-/// has refused anything, so all counts look good; callers would be sent there until their deadlines
+/// A daemon has no processor time left, or lost its power a second ago, and answers nothing. It has
+/// refused nothing, so all counts look good; requests would be sent there until their deadlines
 /// pass one by one.
 #[test]
 fn no_answer() {
@@ -201,16 +203,16 @@
     let mut rng = StdRng::seed_from_u64(1);
     let near = PlaceRequest { exclude: &[1], wants_slot: false, ..ANY };
     let mut open = table.choose(&near, now, &mut rng).expect("the near one");
-    assert_eq!(count(&table, &ANY, now + millis(100)), [100, 0], "long work is no sign");
+    assert_eq!(count(&table, &ANY, now + millis(100)), [100, 0], "long work alone proves nothing");
     let silent = now + millis(1_300);
     assert_eq!(count(&table, &ANY, silent), [0, 100]);
     open.note_head(Some(millis(2)), silent);
     assert_eq!(count(&table, &ANY, silent), [100, 0], "an answer shows that messages get through");
 }
 
-/// Documents are late everywhere, by half a second more near by than far away. Bytes that cross between
-/// data centres are dear, and the caller gets a late document either way; it comes from far only where
-/// it would be late by seconds.
+/// Documents are late everywhere, by half a second more near by than far away. Bytes that cross
+/// between data centres are expensive, and the caller gets a late document either way; it comes
+/// from far only where the near one would be later by seconds.
 #[test]
 fn late_documents() {
     let table = table(&[EndpointDistance::SameCentre, EndpointDistance::SameRegion]);
--- a/components/decide/tests/transit_times.rs
+++ b/components/decide/tests/transit_times.rs
@@ -1,4 +1,4 @@
-//! Telling how long a message was on its way, without a common clock.
+//! How long a message was in transit, without a common clock.
 
 use std::time::Duration;
 
@@ -10,9 +10,9 @@
     Duration::from_millis(count)
 }
 
-/// A link fills with documents, and the calls behind them arrive over half a second after they left. The
-/// sender's clock is an hour ahead, so that no time can be compared; only that these took longer than
-/// others.
+/// A link fills with documents, and the calls behind them arrive over half a second after they
+/// left. The sender's clock is an hour ahead, so that no times can be compared; it only shows that
+/// these took longer than others.
 #[test]
 fn full_link() {
     let hour = Duration::from_secs(3600);
@@ -25,8 +25,8 @@
     assert!(late <= millis(1), "the link is free again: {late:?}");
 }
 
-/// A daemon is replaced by another process, whose clock begins elsewhere. Its messages must not count as
-/// late by the difference of the two clocks.
+/// A daemon is replaced by another process, whose clock starts from another value. Its messages
+/// must not count as late by the difference of the two clocks.
 #[test]
 fn other_process() {
     let mut clocks = TripClocks::default();
@@ -34,8 +34,8 @@
     assert_eq!(clocks.note(CLOCK + 1, millis(10), millis(2000)), Duration::ZERO);
 }
 
-/// Two clocks drift apart by a tenth of a millisecond a second. After an hour without a restart, calls
-/// over a free link would be taken for late by a third of a second and refused.
+/// Two clocks drift apart by a tenth of a millisecond a second. After an hour without a restart,
+/// calls over a free link would count as late by a third of a second and be refused.
 #[test]
 fn drifting_clocks() {
     let mut clocks = TripClocks::default();
@@ -46,8 +46,8 @@
     }
 }
 
-/// Guards against the first message of a daemon being taken at its word where the opening of its
-/// connection, over the same link, shows that it is late.
+/// Guards against believing the time left that the first message of a daemon states, where the
+/// opening of its connection, over the same link, shows that the message is late.
 #[test]
 fn first_message() {
     let mut clocks = TripClocks::default();
@@ -59,8 +59,8 @@
     assert!(late <= millis(3), "the link is free again: {late:?}");
 }
 
-/// Guards against calls being taken at their word behind bytes that also held up the opening of their
-/// connection, which then is no measure of a free link.
+/// Guards against believing the time left of calls behind bytes that also delayed the opening of
+/// their connection, which then is no measure of a free link.
 #[test]
 fn slow_opening() {
     let mut clocks = TripClocks::default();
@@ -74,8 +74,8 @@
     assert!(late <= millis(1), "the link is free again: {late:?}");
 }
 
-/// Guards against the opening of a further connection, which takes longer than a message, being counted
-/// against a clock that is known.
+/// Guards against the opening of a further connection, which takes longer than a message, being
+/// counted against a clock that is known.
 #[test]
 fn second_opening() {
     let mut clocks = TripClocks::default();
--- a/components/decide/tests/upload_link.rs
+++ b/components/decide/tests/upload_link.rs
@@ -15,7 +15,7 @@
 /// Bytes that the link carries in a millisecond: 7 Mbit/s.
 const LINK: u64 = 875;
 const UPLOAD: u64 = 60_000;
-/// Bytes of an upload that come before it is decided on or has its turn.
+/// Bytes of an upload that arrive before it is decided on or has a permit.
 const WINDOW: u64 = 16_384;
 const WORK_MS: u64 = 250;
 const GOAL_MS: u64 = 1_000;
@@ -49,7 +49,7 @@
     /// Refused at once, with time to go to another server.
     refused: u64,
     late: u64,
-    /// Longest time that a short call stood behind uploads.
+    /// Longest time that a short call waits behind uploads.
     short_ms: u64,
 }
 
@@ -66,7 +66,7 @@
     }
 }
 
-/// Plays the uploads with all of each sent at once.
+/// Simulates the uploads with all of each sent at once.
 fn simulate_whole() -> SimulationResult {
     let mut result = SimulationResult::default();
     let (mut behind, mut free_at) = (0, 0.0_f64);
@@ -87,14 +87,15 @@
     on_link: u64,
 }
 
-/// Plays the uploads with each decided on by its first bytes and then taken in its turn.
+/// Simulates the uploads with each decided on by its first bytes and then received when it has a
+/// permit.
 fn simulate_permits() -> SimulationResult {
     let (mut guard, mut queue) = (guard(), TransferQueue::default());
     let mut rng = SmallRng::seed_from_u64(1);
     let mut result = SimulationResult::default();
     let mut coming: Vec<ComingUpload> = Vec::new();
     let mut running: VecDeque<(u64, u64, Ticket)> = VecDeque::new();
-    let mut stray = 0;
+    let mut refused_bytes = 0;
     for ms in 1..END_MS {
         let now = Duration::from_millis(ms);
         if ms % PAUSE_MS == 0 {
@@ -104,17 +105,17 @@
                 coming.push(ComingUpload { id, came: ms, unsent, on_link: WINDOW });
             } else {
                 result.refused += 1;
-                stray += WINDOW;
+                refused_bytes += WINDOW;
             }
         }
         let on_link =
             |coming: &[ComingUpload]| coming.iter().map(|upload| upload.on_link).sum::<u64>();
-        result.record_link(stray + on_link(&coming));
-        let mut room = LINK.saturating_sub(stray);
-        stray = stray.saturating_sub(LINK);
+        result.record_link(refused_bytes + on_link(&coming));
+        let mut carries = LINK.saturating_sub(refused_bytes);
+        refused_bytes = refused_bytes.saturating_sub(LINK);
         for upload in &mut coming {
-            let carried = upload.on_link.min(room);
-            (upload.on_link, room) = (upload.on_link - carried, room - carried);
+            let carried = upload.on_link.min(carries);
+            (upload.on_link, carries) = (upload.on_link - carried, carries - carried);
             if queue.ask(upload.id, now) == TransferTurn::Go {
                 let more = (WINDOW - upload.on_link).min(upload.unsent);
                 (upload.on_link, upload.unsent) = (upload.on_link + more, upload.unsent - more);
@@ -143,7 +144,7 @@
     result
 }
 
-/// Guards against uploads that fill a link, come late at a server with free slots and hold up short
+/// Guards against uploads that fill a link, come late to a server with free slots and delay short
 /// calls.
 #[test]
 fn full_link() {
@@ -165,7 +166,7 @@
     considered.map_err(|refusal| refusal.reason)
 }
 
-/// Guards against uploads that look for a free slot and wait for the link instead.
+/// Guards against uploads that ask for a free slot and wait for the link instead.
 #[test]
 fn busy_link_refused() {
     let attempt = GuardRequest { most_wait: Some(Duration::ZERO), ..request(1) };
@@ -179,7 +180,7 @@
     assert_eq!(consider(&attempt, &takes_all_slots), Err(RefusalReason::Busy));
 }
 
-/// Guards against uploads taken in that cannot be here in time.
+/// Guards against receiving uploads that cannot be here in time.
 #[test]
 fn too_late() {
     let takes = Duration::from_millis(70);
--- a/components/decide/tests/urgent_queue.rs
+++ b/components/decide/tests/urgent_queue.rs
@@ -35,7 +35,7 @@
     WorkKind { work: 290, goal: 800, deadline: 2500, rank: 1, rate: 24.0 },
 ];
 
-/// What callers got, by kind.
+/// Outcomes that callers got, by kind of work.
 #[derive(Clone, Copy, Debug, Default)]
 struct KindCount {
     asked: u32,
@@ -55,7 +55,8 @@
 struct Simulation {
     guard: AdmissionGuard,
     rng: StdRng,
-    /// Draws of the guard, apart from those of the load, so that each order meets the same load.
+    /// Random numbers of the guard, separate from those of the load, so that each order meets the
+    /// same load.
     guard_rng: StdRng,
     calls: Vec<(Ticket, SentCall)>,
     ends: BinaryHeap<Reverse<(Duration, usize)>>,
@@ -132,7 +133,10 @@
     }
 
     fn index_of(&self, ticket: Ticket) -> usize {
-        self.calls.iter().position(|(held, _)| *held == ticket).expect("a ticket of ours")
+        self.calls
+            .iter()
+            .position(|(known, _)| *known == ticket)
+            .expect("a ticket of this simulation")
     }
 
     fn advance(&mut self, now: Duration) {
@@ -188,9 +192,10 @@
     line("calls", counts[0]) + &line("confirmations", counts[1])
 }
 
-/// A burst of twice the traffic for five seconds. In turns, nearly every caller of the burst is
-/// answered late, and calls are refused for which their caller has worked already. By urgency, most
-/// of those that are taken are in time, the others hear at once, and calls are all answered.
+/// A burst of twice the traffic for five seconds. In the fair order nearly every caller of the
+/// burst is answered late, and calls are refused for which their caller has already worked. By
+/// urgency, most of those that are admitted are in time, the others are refused at once, and all
+/// calls are answered.
 #[test]
 fn burst_by_urgency() {
     let fair = Simulation::new(settings(QueueOrder::Fair)).run(2.0);
@@ -244,7 +249,7 @@
     assert!(matches!(guard.offer(&request(0), now, &mut rng), Admission::Queued(_)));
 }
 
-/// A request that may not wait is told at once, whatever the queue, so that it can look elsewhere.
+/// A request that may not wait is refused at once, whatever the queue, so that it can go elsewhere.
 #[test]
 fn no_wait_refused() {
     let mut guard = AdmissionGuard::new(settings(QueueOrder::Urgent), Duration::ZERO);
