--- a/components/decide/src/admitting.rs
+++ b/components/decide/src/admitting.rs
@@ -139,8 +139,8 @@
     settings: GuardSettings,
     started_at: Duration,
     calls: SlotMap<Ticket, GuardedCall>,
-    queues: [FlowQueue; CLASS_COUNT],
-    urgent: [UrgencyQueue; CLASS_COUNT],
+    fair_queues: [FlowQueue; CLASS_COUNT],
+    urgency_queues: [UrgencyQueue; CLASS_COUNT],
     running: [u32; CLASS_COUNT],
     estimates: [ServiceEstimate; CLASS_COUNT],
     /// Estimates by kind of work, kept where requests are ordered by urgency.
@@ -149,7 +149,7 @@
     short_peak: DecayingPeak,
     trial: TrialState,
     /// Limit that the instance's link sets to long work.
-    link: LinkLimit,
+    link_limit: LinkLimit,
     is_draining: bool,
 }
 
@@ -160,14 +160,14 @@
             settings,
             started_at,
             calls: SlotMap::with_key(),
-            queues: Default::default(),
-            urgent: Default::default(),
+            fair_queues: Default::default(),
+            urgency_queues: Default::default(),
             running: [0; CLASS_COUNT],
             estimates: Default::default(),
             work_estimates: HashMap::new(),
             short_peak: DecayingPeak::default(),
             trial: TrialState::None,
-            link: LinkLimit::default(),
+            link_limit: LinkLimit::default(),
             is_draining: false,
         }
     }
@@ -200,9 +200,9 @@
             false => {
                 let index = class_index(class);
                 match self.settings.order {
-                    QueueOrder::Fair => self.queues[index].push(request.flow, ticket),
+                    QueueOrder::Fair => self.fair_queues[index].push(request.flow, ticket),
                     QueueOrder::Urgent => {
-                        self.urgent[index].push(ticket, urgency_of(request), service);
+                        self.urgency_queues[index].push(ticket, urgency_of(request), service);
                     }
                 }
                 Admission::Queued(ticket)
@@ -215,9 +215,9 @@
     pub fn drain(&mut self) -> Released {
         self.is_draining = true;
         let mut released = Released::default();
-        let fair = self.queues.iter_mut().flat_map(|queue| std::iter::from_fn(|| queue.pop()));
+        let fair = self.fair_queues.iter_mut().flat_map(|queue| std::iter::from_fn(|| queue.pop()));
         let waiting: Vec<Ticket> = fair.collect();
-        let urgent = std::mem::take(&mut self.urgent);
+        let urgent = std::mem::take(&mut self.urgency_queues);
         let waiting = waiting.into_iter().chain(urgent.iter().flat_map(UrgencyQueue::tickets));
         released.refused.extend(waiting.map(|ticket| (ticket, RefusalReason::Draining)));
         if let TrialState::Waiting(ticket) = self.trial {
@@ -307,7 +307,7 @@
         let class = request.class;
         let service = self.service_time(request, now);
         let left = request.deadline.saturating_sub(now);
-        let queue = &self.queues[class_index(class)];
+        let queue = &self.fair_queues[class_index(class)];
         let limit = self.settings.queue_limit(class);
         let has_room = !request.alone && self.has_room(class, now);
         match request {
@@ -363,7 +363,7 @@
     /// Returns the number of queued requests of a class.
     fn queued(&self, class: WorkClass) -> u32 {
         let index = class_index(class);
-        self.queues[index].len() + self.urgent[index].len()
+        self.fair_queues[index].len() + self.urgency_queues[index].len()
     }
 
     /// Returns the reason of a refusal by a full queue: a cold start while the server warms up.
@@ -378,7 +378,7 @@
     /// order of [`FlowQueue`], over the slots that its class can count on.
     fn expected_wait(&self, request: &GuardRequest, now: Duration) -> Duration {
         let class = request.class;
-        let ahead = self.queues[class_index(class)].ahead_of(request.flow);
+        let ahead = self.fair_queues[class_index(class)].ahead_of(request.flow);
         let long = self.running[1] + self.queued(WorkClass::Long);
         let slots = match class {
             WorkClass::Long => self.long_limit(now),
@@ -430,7 +430,7 @@
         let slots = self.slots(now);
         let share = self.settings.long_share_of(slots);
         let needed = self.short_peak.level(now).ceil() as u32 + 1;
-        share.max(slots.saturating_sub(needed)).min(self.link.max_running()).max(1)
+        share.max(slots.saturating_sub(needed)).min(self.link_limit.max_running()).max(1)
     }
 
     /// Returns whether a request of a class could start at once without overtaking one that waits.
--- a/components/decide/src/admitting/release.rs
+++ b/components/decide/src/admitting/release.rs
@@ -23,7 +23,7 @@
             self.estimates[class_index(class)].add(took, now);
             self.record_work(work, took, now);
             if class == WorkClass::Long {
-                self.link.record_end();
+                self.link_limit.record_end();
             }
         }
         self.cancel(ticket, now)
@@ -67,8 +67,8 @@
         if !self.settings.bounds_by_link {
             return Released::default();
         }
-        let before = self.link.waiting_answers();
-        self.link.set_waiting_answers(answers, self.running[class_index(WorkClass::Long)]);
+        let before = self.link_limit.waiting_answers();
+        self.link_limit.set_waiting_answers(answers, self.running[class_index(WorkClass::Long)]);
         match answers < before {
             true => self.expire(now),
             false => Released::default(),
@@ -112,7 +112,7 @@
         let Some(call) = self.calls.get_mut(ticket) else { return };
         call.stage = CallStage::Running(now);
         self.running[class_index(call.class)] += 1;
-        self.queues[class_index(call.class)].count_start(call.flow);
+        self.fair_queues[class_index(call.class)].count_start(call.flow);
         if self.trial == TrialState::Waiting(ticket) {
             self.trial = TrialState::Running(ticket, now + self.settings.trial_exclusive_time);
         }
@@ -121,10 +121,10 @@
     /// Removes a request from wherever it stands, and ends its trial if it is one.
     fn remove(&mut self, ticket: Ticket) {
         let Some(call) = self.calls.remove(ticket) else { return };
-        let queue = &mut self.queues[class_index(call.class)];
+        let queue = &mut self.fair_queues[class_index(call.class)];
         match call.stage {
             CallStage::Queued if self.settings.order == QueueOrder::Urgent => {
-                self.urgent[class_index(call.class)].remove(ticket);
+                self.urgency_queues[class_index(call.class)].remove(ticket);
             }
             CallStage::Queued => queue.remove(call.flow, ticket),
             CallStage::AwaitsEmptyServer => {}
@@ -145,8 +145,8 @@
     fn pop(&mut self, class: WorkClass, now: Duration) -> Option<Ticket> {
         let index = class_index(class);
         match self.settings.order {
-            QueueOrder::Fair => self.queues[index].pop(),
-            QueueOrder::Urgent => self.urgent[index].pop(now),
+            QueueOrder::Fair => self.fair_queues[index].pop(),
+            QueueOrder::Urgent => self.urgency_queues[index].pop(now),
         }
     }
 
@@ -163,8 +163,8 @@
             TrialState::Waiting(ticket) => Some(ticket),
             _ => None,
         };
-        let urgent = self.urgent.iter().flat_map(UrgencyQueue::tickets);
-        self.queues.iter().flat_map(|queue| queue.tickets()).chain(urgent).chain(trial)
+        let urgent = self.urgency_queues.iter().flat_map(UrgencyQueue::tickets);
+        self.fair_queues.iter().flat_map(|queue| queue.tickets()).chain(urgent).chain(trial)
     }
 
     /// Refuses the waiting requests that could no longer finish in time. They would take a slot for
--- a/components/decide/src/admitting/urgent.rs
+++ b/components/decide/src/admitting/urgent.rs
@@ -29,7 +29,7 @@
             return released;
         }
         let service = self.service_time(request, now);
-        let queue = &mut self.urgent[class_index(class)];
+        let queue = &mut self.urgency_queues[class_index(class)];
         if let Some(ticket) = queue.pop_less_urgent(urgency_of(request), service, now) {
             self.calls.remove(ticket);
             released.refused.push((ticket, RefusalReason::QueueFull));
@@ -94,7 +94,7 @@
         let class = request.class;
         let service = self.service_time(request, now);
         let urgency = urgency_of(request);
-        let ahead = self.urgent[class_index(class)].work_ahead(urgency, service, now);
+        let ahead = self.urgency_queues[class_index(class)].work_ahead(urgency, service, now);
         let slots = match class {
             WorkClass::Long => self.long_limit(now),
             WorkClass::Short => self.slots(now),
--- a/components/decide/src/placing/mean.rs
+++ b/components/decide/src/placing/mean.rs
@@ -36,7 +36,7 @@
         // The first samples weigh evenly, or the very first would count for most of the mean.
         let weight = u64::from(before).saturating_add(1).min(MEAN_WEIGHT);
         let mean = |current: u64| Some((current * (weight - 1) + latency) / weight);
-        // The closure always gives a value, so the update cannot fail.
+        // The closure always returns a value, so the update cannot fail.
         let _ = self.mean.fetch_update(Ordering::Relaxed, Ordering::Relaxed, mean);
         before.saturating_add(1)
     }
@@ -129,7 +129,7 @@
             0 => Some(bytes),
             current => Some((current * (MEAN_WEIGHT - 1) + bytes) / MEAN_WEIGHT),
         };
-        // The closure always gives a value, so the update cannot fail.
+        // The closure always returns a value, so the update cannot fail.
         let _ = self.0.fetch_update(Ordering::Relaxed, Ordering::Relaxed, mean);
     }
 
--- a/components/decide/src/quarantine.rs
+++ b/components/decide/src/quarantine.rs
@@ -26,7 +26,7 @@
 /// Hash of a request: its key, or its method, path and body.
 pub type Fingerprint = u64;
 /// Identifies one crash: a hash of the server and its incarnation.
-pub type OccasionId = u64;
+pub type CrashId = u64;
 
 /// Settings of the quarantine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -72,7 +72,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CrashReport<'a> {
     /// Identifies the crash.
-    pub occasion: OccasionId,
+    pub occasion: CrashId,
     /// Time of the crash since the Unix epoch.
     pub at: Duration,
     /// Requests in flight on the server.
--- a/components/decide/src/quarantine/record.rs
+++ b/components/decide/src/quarantine/record.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::quarantine::{Fingerprint, OccasionId};
+use crate::quarantine::{CrashId, Fingerprint};
 
 /// Crashes kept for one request. Two decide; two more keep these two through a merge with a daemon
 /// that saw others.
@@ -25,7 +25,7 @@
     /// Time since the Unix epoch.
     pub at: Duration,
     /// Identifies the crash.
-    pub occasion: OccasionId,
+    pub occasion: CrashId,
     /// What was in flight beside it.
     pub kind: CrashKind,
     /// Whether a later success has cleared the request of it.
--- a/components/decide/src/retrying.rs
+++ b/components/decide/src/retrying.rs
@@ -176,7 +176,7 @@
         let part = self.settings.cap / self.fleet.load(Ordering::Relaxed);
         let cap = part.max(RETRY_COST.min(self.settings.cap));
         let paid = |tokens: u64| Some(tokens.saturating_add(amount).min(cap));
-        // The closure always gives a value, so the update cannot fail.
+        // The closure always returns a value, so the update cannot fail.
         let _ = self.tokens.fetch_update(Ordering::Relaxed, Ordering::Relaxed, paid);
     }
 
--- a/components/decide/tests/pacing_storm.rs
+++ b/components/decide/tests/pacing_storm.rs
@@ -39,17 +39,17 @@
 /// its clients come back together and are sent away together.
 #[test]
 fn reconnect_storm() {
-    let (gate, gate_tries) = storm(None);
+    let (gate_time, gate_tries) = storm(None);
     let (fixed, fixed_tries) = storm(Some(Duration::from_millis(50)));
     let ideal = Duration::from_millis(20) * (780 / 8);
-    assert!(gate <= ideal * 2, "all served after {gate:?}, ideal {ideal:?}");
+    assert!(gate_time <= ideal * 2, "all served after {gate_time:?}, ideal {ideal:?}");
     assert!(gate_tries * 4 <= fixed_tries, "{gate_tries} tries, fixed {fixed_tries}");
     expect![[r#"
         served after 2.53s, ideal 1.94s, tries 1680
         fixed return: served after 4.87s, tries 38416
     "#]]
     .assert_eq(&format!(
-        "served after {gate:.2?}, ideal {ideal:.2?}, tries {gate_tries}\n\
+        "served after {gate_time:.2?}, ideal {ideal:.2?}, tries {gate_tries}\n\
          fixed return: served after {fixed:.2?}, tries {fixed_tries}\n"
     ));
 }
--- a/components/decide/tests/retry_storm.rs
+++ b/components/decide/tests/retry_storm.rs
@@ -155,7 +155,7 @@
 proptest! {
     #![proptest_config(fixed_seed::config())]
 
-    /// A budget that grants more than its bound lets a failing service drown in retries. The bound
+    /// A budget that grants more than its bound lets retries overload a failing service. The bound
     /// is checked over every span of the sequence, not from its start only.
     #[test]
     fn budget_bound(steps in prop::collection::vec((any::<bool>(), 0..300_u64), 1..200)) {
