--- a/components/decide/src/quarantine.rs
+++ b/components/decide/src/quarantine.rs
@@ -33,9 +33,9 @@
 pub struct QuarantineSettings {
     /// How long a convicted request is refused. Default 10 min: a resend costs one server at most
     /// six times an hour, and a repaired service takes the request again soon.
-    pub refusal_time: Duration,
+    pub hold: Duration,
     /// How long evidence is kept. Default 1 h, so that a request which its caller sends again an
-    /// hour later still runs alone. At least `refusal_time`.
+    /// hour later still runs alone. At least `hold`.
     pub evidence_life: Duration,
     /// Requests kept at most. Default 1024, about 200 KB: two crashes a day leave some 24 each.
     pub capacity: usize,
@@ -49,7 +49,7 @@
 impl Default for QuarantineSettings {
     fn default() -> Self {
         Self {
-            refusal_time: Duration::from_secs(600),
+            hold: Duration::from_secs(600),
             evidence_life: Duration::from_secs(3600),
             capacity: 1024,
             crash_limit: None,
@@ -110,10 +110,7 @@
         if let Some(limit) = self.settings.crash_limit {
             return self.judge_crashes(record, limit, now);
         }
-        match record
-            .convicted_at(since)
-            .map(|at| (at + self.settings.refusal_time).saturating_sub(now))
-        {
+        match record.convicted_at(since).map(|at| (at + self.settings.hold).saturating_sub(now)) {
             Some(left) if !left.is_zero() => QuarantineVerdict::Refused(left),
             _ if record.is_suspect(since) => QuarantineVerdict::TryAlone,
             _ => QuarantineVerdict::Clear,
@@ -128,7 +125,7 @@
         now: Duration,
     ) -> QuarantineVerdict {
         let since = now.saturating_sub(self.settings.evidence_life);
-        let left = (record.last_crash_at() + self.settings.refusal_time).saturating_sub(now);
+        let left = (record.last_crash_at() + self.settings.hold).saturating_sub(now);
         match record.crash_count(since) >= limit as usize && !left.is_zero() {
             true => QuarantineVerdict::Refused(left),
             false => QuarantineVerdict::Clear,
--- a/components/decide/tests/quarantine_trials.rs
+++ b/components/decide/tests/quarantine_trials.rs
@@ -45,7 +45,7 @@
     crash(&mut table, 1, &[POISON, 1, 2], false);
     assert_eq!(table.judge(POISON, seconds(2)), QuarantineVerdict::TryAlone);
     crash(&mut table, 3, &[POISON], true);
-    let refusal_time = QuarantineSettings::default().refusal_time;
+    let refusal_time = QuarantineSettings::default().hold;
     assert_eq!(table.judge(POISON, seconds(3)), QuarantineVerdict::Refused(refusal_time));
     let later = seconds(3) + refusal_time;
     assert_eq!(table.judge(POISON, later), QuarantineVerdict::TryAlone);
