--- a/components/decide/src/admitting/link.rs
+++ b/components/decide/src/admitting/link.rs
@@ -1,4 +1,4 @@
-//! Limit on long work at the server by what the instance's link carries.
+//! Limit on long work at a server by what the instance's link carries.
 
 /// Long requests that may always run: one for each of the two answers that the link carries at a
 /// time and one at the server, so that the link has something to send when one of them ends.
--- a/components/decide/src/admitting/urgency.rs
+++ b/components/decide/src/admitting/urgency.rs
@@ -28,6 +28,7 @@
     urgency: Urgency,
     /// Time that a server usually takes for it.
     work: Duration,
+    /// Number of the request in the order of arrival.
     sequence: u64,
 }
 
@@ -45,6 +46,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct UrgencyQueue {
     calls: Vec<QueuedCall>,
+    /// Requests queued so far.
     sequence: u64,
 }
 
--- a/components/decide/src/admitting/urgent.rs
+++ b/components/decide/src/admitting/urgent.rs
@@ -1,4 +1,6 @@
-//! Admission in the order of urgency.
+//! Admission in the order of urgency. A request that would miss its goal by waiting is refused at
+//! once, so that a burst does not make all requests late, and the least urgent request gives its
+//! place in a full queue to a more urgent one.
 
 use std::time::Duration;
 
--- a/components/decide/src/placing.rs
+++ b/components/decide/src/placing.rs
@@ -173,20 +173,20 @@
         if self.entries.is_empty() {
             return Err(PlaceError::NoEndpoint);
         }
-        if let Some(index) = self.due_probe(request, now) {
+        if let Some(index) = self.claim_due_probe(request, now) {
             return Ok(PlacedCall::start(self, index, request, true, now));
         }
         if self.settings.order == PlacementOrder::Soonest {
             return match self.pick_soonest(request, now, rng) {
                 Some(index) => Ok(PlacedCall::start(self, index, request, false, now)),
                 None if request.wants_slot => Err(PlaceError::AllExcluded),
-                None => self.last_resort(request, now).ok_or(PlaceError::AllExcluded),
+                None => self.place_on_ejected(request, now).ok_or(PlaceError::AllExcluded),
             };
         }
         let candidates = self.candidates(request, now);
         match two_choices::pick(&candidates, &self.settings, rng) {
             Some(index) => Ok(PlacedCall::start(self, index, request, false, now)),
-            None => self.last_resort(request, now).ok_or(PlaceError::AllExcluded),
+            None => self.place_on_ejected(request, now).ok_or(PlaceError::AllExcluded),
         }
     }
 
@@ -275,7 +275,7 @@
     }
 
     /// Returns the index of an endpoint whose ejection has run out, and claims its probe.
-    fn due_probe(&self, request: &PlaceRequest<'_>, now: Duration) -> Option<usize> {
+    fn claim_due_probe(&self, request: &PlaceRequest<'_>, now: Duration) -> Option<usize> {
         self.entries.iter().position(|entry| {
             request.may_probe
                 && is_eligible(entry, request)
@@ -286,7 +286,7 @@
 
     /// Places a request on an ejected endpoint before its ejection runs out, when no other is left:
     /// an early probe harms less than an error. The limit of one probe at a time still holds.
-    fn last_resort(
+    fn place_on_ejected(
         self: &Arc<Self>,
         request: &PlaceRequest<'_>,
         now: Duration,
--- a/components/decide/src/placing/call.rs
+++ b/components/decide/src/placing/call.rs
@@ -46,7 +46,7 @@
         let entry = &table.entries[index];
         entry.gauge.begin_request(now);
         let most_wait = table.most_wait(entry, request);
-        let work = table.work_of(request);
+        let work = table.work_key_of(request);
         Self { table: Arc::clone(table), index, work, most_wait, is_probe, has_head: false }
     }
 
--- a/components/decide/src/placing/gauge.rs
+++ b/components/decide/src/placing/gauge.rs
@@ -7,7 +7,7 @@
 use crate::placing::mean::{LatencyMean, WorkMeans, decay_factor, micros, signed_micros};
 use crate::placing::{EndpointId, EndpointRecord, Incarnation, PlacementSettings};
 
-/// Largest value of a load hint in a packed hint, whose low bits it takes; the expiry is above
+/// Value of a full load in a packed hint, which has the load in its low bits and its expiry above
 /// them.
 const HINT_STEPS: u64 = 255;
 /// Bits that the load takes in a packed hint.
@@ -45,8 +45,10 @@
     failure_rate: AtomicU32,
     /// Microsecond at which the failure rate was last updated.
     failure_updated_at: AtomicU64,
+    /// Ejections since the endpoint last ran well.
     ejection_count: AtomicU32,
-    is_probed: AtomicBool,
+    /// Whether a probe is under way.
+    is_probing: AtomicBool,
     is_leaving: AtomicBool,
 }
 
@@ -67,7 +69,7 @@
             failure_rate: AtomicU32::new(0),
             failure_updated_at: AtomicU64::new(0),
             ejection_count: AtomicU32::new(0),
-            is_probed: AtomicBool::new(false),
+            is_probing: AtomicBool::new(false),
             is_leaving: AtomicBool::new(false),
         }
     }
@@ -218,11 +220,11 @@
 
     /// Claims the one probe; returns `false` if a probe is under way.
     pub(super) fn claim_probe(&self) -> bool {
-        self.is_probed.compare_exchange(false, true, Ordering::AcqRel, Ordering::Relaxed).is_ok()
+        self.is_probing.compare_exchange(false, true, Ordering::AcqRel, Ordering::Relaxed).is_ok()
     }
 
     pub(super) fn end_probe(&self) {
-        self.is_probed.store(false, Ordering::Release);
+        self.is_probing.store(false, Ordering::Release);
     }
 
     /// Ejects the endpoint. Each ejection since it last ran well doubles the time.
--- a/components/decide/src/placing/soonest.rs
+++ b/components/decide/src/placing/soonest.rs
@@ -9,20 +9,20 @@
 //! by urgency.
 //!
 //! The endpoint with the least cost is chosen. The cost is the expected time until the answer (wait
-//! for a slot, transit and work) plus penalties, expressed as time, and a small random part.
-//! The penalties rank endpoints in this order:
+//! for a slot, transit and work) plus penalties, expressed as time, and a small random part. The
+//! penalties rank endpoints in this order:
 //!
 //! 1. By whether the answer is expected safely within the goal (`MISSED_GOAL_PENALTY`). An endpoint
 //!    that is expected to miss the goal, or that often fails, gets no request while another will
 //!    meet it.
 //! 2. By region (`OTHER_REGION_PENALTY`). A request does not leave the region to save a wait.
-//! 3. By data centre, where the answer is in time (`IN_TIME_REGION_PENALTY`). Bytes do not cross
-//!    between data centres for an answer that would be in time without it.
+//! 3. By data centre, where the answer is in time (`OTHER_CENTRE_IN_TIME_PENALTY`). Bytes do not
+//!    cross between data centres for an answer that would be in time without it.
 //! 4. By failures beyond those of the peers (the goal, or `FAILURE_PENALTY`). A quick server does
 //!    not attract requests that it is likely to fail.
-//! 5. By data centre, where the answer is late (`LATE_LONG_REGION_PENALTY`, `LATE_REGION_PENALTY`).
-//!    A late answer crosses between data centres only where it comes sooner by more than the
-//!    crossing costs.
+//! 5. By data centre, where the answer is late (`OTHER_CENTRE_LATE_LONG_PENALTY`,
+//!    `OTHER_CENTRE_LATE_PENALTY`). A late answer crosses between data centres only where it comes
+//!    sooner by more than the crossing costs.
 //!
 //! Between endpoints that are alike in these, the time until the answer decides.
 
@@ -36,13 +36,13 @@
 /// Penalty of another data centre of the same region while the answer is expected within its goal.
 /// It is more than any goal, so that the own data centre wins wherever it meets the goal too, and
 /// bytes cross between data centres only where callers gain by it.
-const IN_TIME_REGION_PENALTY: Duration = Duration::from_secs(5);
+const OTHER_CENTRE_IN_TIME_PENALTY: Duration = Duration::from_secs(5);
 /// Penalty of another data centre of the same region where no goal is met or set: some round trips.
-const LATE_REGION_PENALTY: Duration = Duration::from_millis(15);
+const OTHER_CENTRE_LATE_PENALTY: Duration = Duration::from_millis(15);
 /// The same penalty for long work. Its answers are large, and one that is late either way is as
 /// good to its caller from near by, as long as it is later by no more than about the goal once
 /// more.
-const LATE_LONG_REGION_PENALTY: Duration = Duration::from_secs(1);
+const OTHER_CENTRE_LATE_LONG_PENALTY: Duration = Duration::from_secs(1);
 /// Penalty of another region. It is more than any wait that callers accept, so that no request
 /// leaves its region to save a wait.
 const OTHER_REGION_PENALTY: Duration = Duration::from_secs(10);
@@ -84,16 +84,16 @@
         now: Duration,
         rng: &mut (impl Rng + ?Sized),
     ) -> Option<usize> {
-        let usual = self.usual_work(self.work_of(request), now).max(MIN_USUAL_WORK);
+        let usual = self.usual_work(self.work_key_of(request), now).max(MIN_USUAL_WORK);
         let failures = self.excess_failure_rates(now);
-        let wanted =
+        let eligible =
             self.entries.iter().zip(failures).enumerate().filter(|(_, (entry, failures))| {
                 super::is_eligible(entry, request)
                     && !entry.gauge.is_ejected()
                     && (!request.wants_slot || self.has_free_slot(entry, request, *failures, now))
             });
         let mut best: Option<(Duration, usize)> = None;
-        for (index, (entry, failures)) in wanted {
+        for (index, (entry, failures)) in eligible {
             let jitter = usual.mul_f64(rng.random_range(0.0..COST_JITTER));
             let cost = self.cost(entry, request, (usual, failures), now) + jitter;
             if best.is_none_or(|(least, _)| cost < least) {
@@ -115,7 +115,7 @@
     ) -> Duration {
         let gauge = &entry.gauge;
         // An old measurement counts less and less, so that a server that was slow is tried again.
-        let work = gauge.latency(self.work_of(request)).decayed_towards(usual, now);
+        let work = gauge.latency(self.work_key_of(request)).decayed_towards(usual, now);
         // A cold server takes about twice as long.
         let work = work.div_f64(gauge.warm_fraction(&self.settings, now).max(0.5));
         let weights = &self.settings.weights;
@@ -125,23 +125,23 @@
             && request
                 .goal
                 .is_some_and(|goal| wait + transit + work.mul_f64(GOAL_SAFETY_FACTOR) <= goal);
-        let distance = match entry.record.distance {
+        let distance_penalty = match entry.record.distance {
             EndpointDistance::SameCentre => Duration::ZERO,
-            EndpointDistance::SameRegion if is_in_time => IN_TIME_REGION_PENALTY,
+            EndpointDistance::SameRegion if is_in_time => OTHER_CENTRE_IN_TIME_PENALTY,
             EndpointDistance::SameRegion if request.class == WorkClass::Long => {
-                LATE_LONG_REGION_PENALTY
+                OTHER_CENTRE_LATE_LONG_PENALTY
             }
-            EndpointDistance::SameRegion => LATE_REGION_PENALTY,
+            EndpointDistance::SameRegion => OTHER_CENTRE_LATE_PENALTY,
             EndpointDistance::OtherRegion => OTHER_REGION_PENALTY,
         };
-        let missed_goal = if is_in_time { Duration::ZERO } else { MISSED_GOAL_PENALTY };
-        let failures = request.goal.unwrap_or(FAILURE_PENALTY).mul_f64(failures);
-        wait + transit + work + distance + missed_goal + failures
+        let missed_goal_penalty = if is_in_time { Duration::ZERO } else { MISSED_GOAL_PENALTY };
+        let failure_penalty = request.goal.unwrap_or(FAILURE_PENALTY).mul_f64(failures);
+        wait + transit + work + distance_penalty + missed_goal_penalty + failure_penalty
     }
 
     /// Returns the key that a request's service times are kept under: the kind of its work, or its
     /// class where kinds are not told apart.
-    pub(super) fn work_of(&self, request: &PlaceRequest<'_>) -> WorkKey {
+    pub(super) fn work_key_of(&self, request: &PlaceRequest<'_>) -> WorkKey {
         match self.settings.weights.by_work {
             true => request.work,
             false => request.class as WorkKey,
--- a/components/decide/src/retrying.rs
+++ b/components/decide/src/retrying.rs
@@ -71,9 +71,9 @@
     pub backoff: BackoffSettings,
 }
 
-/// Divisor of the budget for requests that a server has failed. A server that fails a request has
-/// run it, and the calls that it made for it are made again: at a service that mostly other
-/// services call, they are many beside its own requests.
+/// Divisor of the budget for retries of requests that a server has failed. A server that fails a
+/// request has run it, and the calls that it made for it are made again. At a service that mostly
+/// other services call, such repeated calls are many beside its own requests.
 const FAILURE_RETRY_DIVISOR: u64 = 4;
 
 impl RetrySettings {
--- a/components/decide/src/seeking.rs
+++ b/components/decide/src/seeking.rs
@@ -13,11 +13,12 @@
 /// servers of a service a request would ask all of them. The endpoints that are asked are the best
 /// by what is known.
 const MAX_FREE_SLOT_ATTEMPTS: usize = 4;
-/// Divisor of a request's response-time goal that limits the time of refusals after which it asks
-/// no further endpoint. Refusals of sound daemons take a few milliseconds. Where they take long,
-/// processors or links are full, and each further attempt makes them fuller: the fleet asks more
-/// the less it can answer, and stays so when the cause is over.
-const MAX_REFUSED_DIVISOR: u32 = 8;
+/// Divisor of a request's response-time goal: once its refusals have taken that part of the goal,
+/// it asks no further endpoint for a free slot. Refusals of healthy daemons take a few
+/// milliseconds. Where they take long, processors or links are full, and each further attempt makes
+/// them fuller: the fleet asks more the less it can answer, and stays overloaded when the cause is
+/// over.
+const REFUSAL_TIME_DIVISOR: u32 = 8;
 
 /// Which endpoints a request is placed among.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -78,7 +79,7 @@
 
     /// Returns whether refusals have taken too long for a further attempt.
     pub fn is_long(&self, goal: Option<Duration>) -> bool {
-        goal.is_some_and(|goal| self.refused_for >= goal / MAX_REFUSED_DIVISOR)
+        goal.is_some_and(|goal| self.refused_for >= goal / REFUSAL_TIME_DIVISOR)
     }
 
     /// Goes on to queue after no slot was free, and returns whether the search has only now done
--- a/components/decide/src/transferring.rs
+++ b/components/decide/src/transferring.rs
@@ -1,12 +1,12 @@
 //! Which large bodies go over an instance's link at once, answers out of it and uploads into it.
 //!
 //! A link can be slower than the server beside it: documents of a quarter of a megabyte on 18
-//! Mbit/s. Sent all at once, each takes as long as all of them, none is there in time, and a short
-//! answer that another request waits for stands behind a quarter of a second of documents. One
-//! after the other, the first ones are in time, and the link carries just as many.
+//! Mbit/s. Sent all at once, each takes as long as all of them, none arrives in time, and a short
+//! answer that another request waits for has to wait behind a quarter of a second of documents.
+//! Sent one after the other, the first ones are in time, and the link carries just as many.
 //!
 //! A body needs a permit to send. A receiver that takes nothing must not delay the others, so a
-//! body loses its permit when it stands still.
+//! body that stops sending loses its permit.
 
 use std::collections::VecDeque;
 use std::time::Duration;
