--- a/components/decide/src/placing/soonest.rs
+++ b/components/decide/src/placing/soonest.rs
@@ -37,7 +37,8 @@
 /// It is more than any goal, so that the own data centre wins wherever it meets the goal too, and
 /// bytes cross between data centres only where callers gain by it.
 const OTHER_CENTRE_IN_TIME_PENALTY: Duration = Duration::from_secs(5);
-/// Penalty of another data centre of the same region where no goal is met or set: some round trips.
+/// Penalty of another data centre of the same region where no goal is met or set: some
+/// round trips, since an answer that comes sooner by more than these is worth the crossing.
 const OTHER_CENTRE_LATE_PENALTY: Duration = Duration::from_millis(15);
 /// The same penalty for long work. Its answers are large, and one that is late either way is as
 /// good to its caller from near by, as long as it is later by no more than about the goal once
