--- a/components/decide/src/admitting/release.rs
+++ b/components/decide/src/admitting/release.rs
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Removes a request from wherever it stands, and ends its trial if it is one.
+    /// Removes a request, queued or running, and ends its trial if it is one.
     fn remove(&mut self, ticket: Ticket) {
         let Some(call) = self.calls.remove(ticket) else { return };
         let queue = &mut self.fair_queues[class_index(call.class)];
--- a/components/decide/src/placing/gauge.rs
+++ b/components/decide/src/placing/gauge.rs
@@ -104,7 +104,7 @@
     }
 
     /// Counts out a request whose answer's head came at `answered_at`, or which ends without one.
-    /// An answer, whatever it says, shows that messages get through to the endpoint and back.
+    /// Any answer, even a failure, shows that messages get through to the endpoint and back.
     pub(super) fn end_unanswered(&self, answered_at: Option<Duration>) {
         self.unanswered.fetch_sub(1, Ordering::Relaxed);
         if let Some(now) = answered_at {
