--- a/components/member/src/board.rs
+++ b/components/member/src/board.rs
@@ -1,4 +1,7 @@
-//! The table shared by the parts of one daemon.
+//! The member table as shared by the tasks of one daemon.
+//!
+//! Control tasks change the table under a lock. Other tasks read immutable views of it, so that
+//! requests never wait for control traffic.
 
 use std::{
     collections::BTreeMap,
@@ -10,12 +13,12 @@
 
 use crate::{MemberMarks, MemberRecord, MemberTable};
 
-/// Records at one moment, cheap to share.
+/// Snapshot of the records, by daemon name; cheap to clone.
 pub type MemberView = Arc<BTreeMap<ProxyId, Arc<MemberRecord>>>;
 
-/// The member table behind a lock, with a view that readers can wait on.
+/// The member table behind a lock, with a snapshot whose changes readers can await.
 ///
-/// Only control traffic takes the lock; the request path reads a table built from the view.
+/// Only control traffic takes the lock; the request path reads a table built from the snapshot.
 pub struct MemberBoard {
     table: Mutex<MemberTable>,
     marks: Mutex<MemberMarks>,
@@ -23,14 +26,14 @@
 }
 
 impl MemberBoard {
-    /// Makes a board that knows only its own daemon.
+    /// Creates a board with the record of its own daemon only.
     pub fn new(record: MemberRecord) -> Self {
         let table = MemberTable::new(record);
         let view = watch::Sender::new(Arc::new(table.records().clone()));
         Self { table: Mutex::new(table), marks: Mutex::default(), view }
     }
 
-    /// Applies a change to the table and publishes the view where `is_changed` says so.
+    /// Applies a change to the table, and publishes a new snapshot if `is_changed` returns true.
     pub fn update<T>(
         &self,
         change: impl FnOnce(&mut MemberTable) -> T,
@@ -39,35 +42,35 @@
         let mut table = self.table.lock().unwrap_or_else(PoisonError::into_inner);
         let outcome = change(&mut table);
         if is_changed(&outcome) {
-            // Sent under the lock, so that views are published in the order of the changes.
+            // Published under the lock, so that snapshots appear in the order of the changes.
             self.view.send_replace(Arc::new(table.records().clone()));
         }
         outcome
     }
 
-    /// Sets what this daemon alone believes of others, and wakes those who wait on the view.
+    /// Sets the reachability marks of this daemon, and wakes the subscribers.
     pub fn set_marks(&self, marks: MemberMarks) {
         *self.marks.lock().unwrap_or_else(PoisonError::into_inner) = marks;
-        // The records are the same: nothing is published but the wish to look again.
+        // The records are unchanged, but subscribers have to read the marks again.
         self.view.send_modify(|_| ());
     }
 
-    /// Gives what this daemon alone believes of others.
+    /// Returns the reachability marks of this daemon.
     pub fn marks(&self) -> MemberMarks {
         self.marks.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Gives the records as of now.
+    /// Returns the current snapshot of the records.
     pub fn view(&self) -> MemberView {
         self.view.borrow().clone()
     }
 
-    /// Gives a receiver that wakes on each change of the view.
+    /// Returns a receiver that is notified of each new snapshot and of each change of the marks.
     pub fn subscribe(&self) -> watch::Receiver<MemberView> {
         self.view.subscribe()
     }
 
-    /// Gives this daemon's own record.
+    /// Returns the record of this daemon.
     pub fn own(&self) -> Arc<MemberRecord> {
         self.table.lock().unwrap_or_else(PoisonError::into_inner).own().clone()
     }
--- a/components/member/src/digest.rs
+++ b/components/member/src/digest.rs
@@ -1,12 +1,15 @@
-//! A short summary of all records, by which two daemons find where their beliefs differ.
+//! A short summary of all records, from which two daemons learn where their records differ.
+//!
+//! Gossip messages may be lost. Comparing digests finds the missing records without sending all of
+//! them.
 
 use crate::MemberRecord;
 
-/// Buckets of a digest. At 780 daemons one changed record costs the about 25 records of its
-/// bucket, and an exchange between equals costs the 256 bytes of the digest.
+/// Number of buckets in a digest. At 780 daemons, one changed record costs sending the about 25
+/// records of its bucket, and a comparison of equal digests costs the 256 bytes of the digest.
 pub const DIGEST_BUCKETS: usize = 32;
 
-/// Hashes of the records by bucket, independent of the order in which the records came.
+/// Sums of the record hashes by bucket, independent of the order in which the records were added.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberDigest {
     buckets: [u64; DIGEST_BUCKETS],
@@ -19,28 +22,29 @@
 }
 
 impl MemberDigest {
-    /// Reads a digest from a peer; buckets that the peer did not send count as empty.
+    /// Creates a digest from the buckets that a peer sent; buckets that the peer did not send
+    /// count as empty.
     pub fn from_buckets(buckets: impl IntoIterator<Item = u64>) -> Self {
         let mut digest = Self::default();
-        for (held, bucket) in digest.buckets.iter_mut().zip(buckets) {
-            *held = bucket;
+        for (bucket_sum, bucket) in digest.buckets.iter_mut().zip(buckets) {
+            *bucket_sum = bucket;
         }
         digest
     }
 
-    /// Gives the buckets in order.
+    /// Returns the buckets in order.
     pub fn buckets(&self) -> &[u64; DIGEST_BUCKETS] {
         &self.buckets
     }
 
-    /// Lists the buckets whose records differ from a peer's.
+    /// Returns the indices of the buckets that differ from those of a peer.
     pub fn differing(&self, other: &Self) -> Vec<usize> {
-        let is_different = |index: &usize| self.buckets[*index] != other.buckets[*index];
-        (0..DIGEST_BUCKETS).filter(is_different).collect()
+        let is_differing = |index: &usize| self.buckets[*index] != other.buckets[*index];
+        (0..DIGEST_BUCKETS).filter(is_differing).collect()
     }
 
-    // A wrapping sum, unlike an exclusive or, is undone by `remove` alone: two equal hashes do
-    // not cancel each other out.
+    // A wrapping sum is used rather than an exclusive or, under which two equal hashes would
+    // cancel each other out.
     pub(crate) fn add(&mut self, record: &MemberRecord) {
         let bucket = &mut self.buckets[bucket_of(&record.proxy)];
         *bucket = bucket.wrapping_add(rank_hash(record));
@@ -52,12 +56,12 @@
     }
 }
 
-/// Gives the bucket of a daemon, the same on every daemon.
+/// Returns the bucket index of a daemon, which is the same on every daemon.
 pub fn bucket_of(proxy: &str) -> usize {
     (name_hash(proxy) % DIGEST_BUCKETS as u64) as usize
 }
 
-// Only the rank is hashed: records of one rank are copies of what the owner said, and daemons of
+// Hashes only the rank: records of one rank are copies of the same owner's record, and daemons of
 // two releases that encode a record differently still find that they agree.
 fn rank_hash(record: &MemberRecord) -> u64 {
     let (incarnation, sequence, status) = record.rank();
@@ -65,8 +69,9 @@
     parts.into_iter().fold(name_hash(&record.proxy), |hash, part| mix(hash ^ part))
 }
 
-/// Hashes a name alike on every daemon and in every release, which the standard library's hasher
-/// does not promise. Peers are authenticated, so nobody chooses names to collide.
+/// Hashes a name to the same value on every daemon and in every release, which the hasher of the
+/// standard library does not guarantee. Peers are authenticated, so nobody chooses names that
+/// collide.
 pub(crate) fn name_hash(name: &str) -> u64 {
     // FNV-1a.
     let mut hash = 0xcbf2_9ce4_8422_2325;
@@ -76,13 +81,13 @@
     mix(hash)
 }
 
-/// Hashes the pair of a purpose and a name, given the hashes of both.
-pub(crate) fn pair_hash(purpose: u64, name: u64) -> u64 {
-    mix(name ^ mix(purpose))
+/// Combines the hash of a salt with the hash of a name.
+pub(crate) fn pair_hash(salt: u64, name: u64) -> u64 {
+    mix(name ^ mix(salt))
 }
 
-// The finishing step of SplitMix64: names that differ in a digit get unrelated hashes, which
-// FNV-1a alone does not give.
+// The finalizer of SplitMix64: names that differ in one digit get unrelated hashes, which FNV-1a
+// alone does not provide.
 fn mix(hash: u64) -> u64 {
     let hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/components/member/src/freshness.rs
+++ b/components/member/src/freshness.rs
@@ -1,4 +1,8 @@
-//! Who looks at the configuration source, judged by how old the word from it is.
+//! The order in which daemons poll the configuration source.
+//!
+//! Each proof of freshness says who last read the source and when. If proofs grow old, the next
+//! daemon in the order polls too, so that a data centre does not fall behind because its relay
+//! cannot reach the source.
 
 use std::{cmp::Reverse, collections::BTreeMap, time::Duration};
 
@@ -6,142 +10,158 @@
 
 use crate::digest::name_hash;
 
-/// Hash of the name of a daemon that looked at the source. Heartbeats carry it several times a
-/// second, and a name would double them.
-pub type LookerMark = u64;
+/// Hash of the name of a daemon that polled the source. Heartbeats carry it several times a
+/// second, and a name would double their size.
+pub type PollerHash = u64;
 
-/// Place in the source's history up to which everything is known; zero where there is none.
+/// Position in the history of the source up to which everything is known; zero if there is none.
 pub type HistoryMark = u64;
 
-/// Place of a looker that is not of this data centre, or not known any more.
-const NO_PLACE: usize = usize::MAX;
+/// Position of a daemon that is not in the polling order, because it belongs to another data
+/// centre or is no longer known.
+const NO_POSITION: usize = usize::MAX;
 
-/// Word from the source: at `seen_at` it had nothing newer than what is held here.
+/// Proof that at `seen_at` the source had nothing newer than what this daemon has.
 ///
-/// Times are those since any fixed start, on a clock that does not go back.
+/// Times count from any fixed start on a monotonic clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FreshnessProof {
-    /// Who looked.
-    pub looker: LookerMark,
-    /// When, never later than it truly was.
+    /// Hash of the name of the daemon that polled.
+    pub looker: PollerHash,
+    /// Time of the poll, never later than the actual time.
     pub seen_at: Duration,
-    /// From where the source's history can be followed.
+    /// Position from which the history of the source can be followed.
     pub history: HistoryMark,
 }
 
-/// When daemons take over from those that should look.
+/// Bounds that decide when further daemons poll the source.
 #[derive(Clone, Copy, Debug)]
 pub struct LookOptions {
-    /// Daemons of the data centre that always look.
+    /// Number of daemons of the data centre that always poll.
     pub relays: usize,
-    /// Age of the word from the source from which on the next daemon looks too.
+    /// Age of the newest proof from which on the next daemon polls too.
     pub stale_after: Duration,
-    /// Time that each further daemon leaves to the one before it. Long enough for the word to come
-    /// from there, and short, as several in a row may be without a way to the source.
+    /// Additional delay of each further daemon. It is long enough for a proof from the previous
+    /// daemon to arrive, and short because several daemons in a row may be unable to reach the
+    /// source.
     pub step: Duration,
 }
 
-/// The word from the source that a daemon goes by, and its turn to look itself.
+/// The current proof of freshness, and the time at which this daemon has to poll.
 ///
-/// Made for a source that answers some daemons and not others, and for daemons that are cut off,
-/// frozen or slow. Each is alive to its peers, so nobody would replace it as a relay, while the data
-/// centre's routes fall behind; callers would be sent by old routes for as long as it lasts. What
-/// counts is therefore not who is alive but how old the word from the source is: where it grows old,
-/// for whatever reason, the next daemon in the order looks. Everyone else stays quiet, so that the
-/// source's load does not grow with the fleet.
+/// The source may answer some daemons and not others, and a relay may be cut off, frozen or slow
+/// while its peers still hear it. Membership alone would then never replace the relay, and callers
+/// would be sent along outdated routes for as long as the fault lasts. The decision therefore
+/// depends on the age of the proof and not on liveness: once the proof is too old, for whatever
+/// reason, the next daemon in the order polls. All others do not poll, so that the load on the
+/// source does not grow with the fleet.
 #[derive(Debug)]
 pub struct FreshnessBook {
-    own: LookerMark,
+    own: PollerHash,
     options: LookOptions,
-    places: BTreeMap<LookerMark, usize>,
-    held: Option<FreshnessProof>,
-    /// When a daemon that goes before this one last saw the source.
-    led_at: Duration,
+    positions: BTreeMap<PollerHash, usize>,
+    proof: Option<FreshnessProof>,
+    /// Time of the last poll by a daemon that precedes this one in the order.
+    predecessor_polled_at: Duration,
 }
 
 impl FreshnessBook {
-    /// Makes a book that knows no order and no proof yet.
+    /// Creates an instance without an order and without a proof.
     pub fn new(own: &str, options: LookOptions) -> Self {
         let own = name_hash(own);
-        Self { own, options, places: BTreeMap::new(), held: None, led_at: Duration::ZERO }
+        Self {
+            own,
+            options,
+            positions: BTreeMap::new(),
+            proof: None,
+            predecessor_polled_at: Duration::ZERO,
+        }
     }
 
-    /// Gives the mark of this daemon.
-    pub fn own(&self) -> LookerMark {
+    /// Returns the hash of the name of this daemon.
+    pub fn own(&self) -> PollerHash {
         self.own
     }
 
-    /// Gives the proof held.
+    /// Returns the current proof.
     pub fn held(&self) -> Option<FreshnessProof> {
-        self.held
+        self.proof
     }
 
-    /// Sets the order in which the daemons of the data centre look.
+    /// Sets the order in which the daemons of the data centre poll.
     pub fn set_order<'a>(&mut self, order: impl IntoIterator<Item = &'a ProxyId>) {
-        let marks = order.into_iter().map(|proxy| name_hash(proxy));
-        self.places = marks.enumerate().map(|(place, mark)| (mark, place)).collect();
+        let hashes = order.into_iter().map(|proxy| name_hash(proxy));
+        self.positions = hashes.enumerate().map(|(position, hash)| (hash, position)).collect();
     }
 
-    /// Begins anew at `now`: what is known may be older than it looks, such as after a pause of this
-    /// process, in which heartbeats waited to be read.
+    /// Discards the current proof and restarts the delay at `now`. After a pause of this process,
+    /// heartbeats that waited to be read make proofs appear newer than they are.
     pub fn restart(&mut self, now: Duration) {
-        self.held = None;
-        self.led_at = now;
+        self.proof = None;
+        self.predecessor_polled_at = now;
     }
 
-    /// Takes a proof, from this daemon's own look or from a peer.
+    /// Adds a proof from a poll of this daemon or from a peer.
     ///
-    /// Of fresh ones that of the first looker in the order is kept and passed on, so that those who
-    /// took over for it hear that it is back.
+    /// Among fresh proofs, the one of the first daemon in the order is kept and passed on, so that
+    /// daemons which took over for it learn that it polls again.
     pub fn offer(&mut self, proof: FreshnessProof, now: Duration) {
-        if self.place_of(proof.looker) < self.place_of(self.own) {
-            self.led_at = self.led_at.max(proof.seen_at);
+        if self.position_of(proof.looker) < self.position_of(self.own) {
+            self.predecessor_polled_at = self.predecessor_polled_at.max(proof.seen_at);
         }
-        let is_better = |held| self.worth(&proof, now) > self.worth(&held, now);
-        if self.held.is_none_or(is_better) {
-            self.held = Some(proof);
+        let is_preferred = |current| self.preference(&proof, now) > self.preference(&current, now);
+        if self.proof.is_none_or(is_preferred) {
+            self.proof = Some(proof);
         }
     }
 
-    /// Gives the time until it is this daemon's turn to look; none while it has no place, as when it
-    /// leaves.
+    /// Returns the time until this daemon has to poll, or `None` if it is not in the order, for
+    /// example while it leaves.
     pub fn due_in(&self, now: Duration) -> Option<Duration> {
         match self.turns_before()? {
             0 => Some(Duration::ZERO),
-            turns => {
-                let steps = u32::try_from(turns - 1).unwrap_or(u32::MAX);
-                let pause = self.options.stale_after + self.options.step.saturating_mul(steps);
-                Some((self.led_at + pause).saturating_sub(now))
+            takeovers => {
+                let step_count = u32::try_from(takeovers - 1).unwrap_or(u32::MAX);
+                let delay = self.options.stale_after + self.options.step.saturating_mul(step_count);
+                Some((self.predecessor_polled_at + delay).saturating_sub(now))
             }
         }
     }
 
-    /// Counts the turns before this daemon's: zero for those that always look, one for the first that
-    /// looks in their place; none while it has no place.
+    /// Returns the number of takeovers before this daemon polls: zero for the relays, which always
+    /// poll, and one for the first daemon that takes over from them. Returns `None` if this daemon
+    /// is not in the order.
     pub fn turns_before(&self) -> Option<usize> {
-        match self.place_of(self.own) {
-            NO_PLACE => None,
-            place => Some((place + 1).saturating_sub(self.options.relays)),
+        match self.position_of(self.own) {
+            NO_POSITION => None,
+            position => Some((position + 1).saturating_sub(self.options.relays)),
         }
     }
 
-    /// Tells whether nobody of the data centre is known to have seen the source lately.
+    /// Returns whether no daemon of the data centre is known to have polled the source recently.
     pub fn is_stale(&self, now: Duration) -> bool {
-        self.held.is_none_or(|held| !self.is_fresh(&held, now))
+        self.proof.is_none_or(|current| !self.is_fresh(&current, now))
     }
 
+    /// Returns whether a proof is recent enough to rely on.
     fn is_fresh(&self, proof: &FreshnessProof, now: Duration) -> bool {
         now.saturating_sub(proof.seen_at) < self.options.stale_after
     }
 
-    fn worth(&self, proof: &FreshnessProof, now: Duration) -> (bool, Reverse<usize>, Duration) {
+    /// Returns the order of proofs: fresh ones first, then by polling order, then by time.
+    fn preference(
+        &self,
+        proof: &FreshnessProof,
+        now: Duration,
+    ) -> (bool, Reverse<usize>, Duration) {
         match self.is_fresh(proof, now) {
-            true => (true, Reverse(self.place_of(proof.looker)), proof.seen_at),
-            false => (false, Reverse(NO_PLACE), proof.seen_at),
+            true => (true, Reverse(self.position_of(proof.looker)), proof.seen_at),
+            false => (false, Reverse(NO_POSITION), proof.seen_at),
         }
     }
 
-    fn place_of(&self, looker: LookerMark) -> usize {
-        self.places.get(&looker).copied().unwrap_or(NO_PLACE)
+    /// Returns the position of a daemon in the polling order.
+    fn position_of(&self, poller: PollerHash) -> usize {
+        self.positions.get(&poller).copied().unwrap_or(NO_POSITION)
     }
 }
--- a/components/member/src/heartbeat.rs
+++ b/components/member/src/heartbeat.rs
@@ -1,4 +1,7 @@
-//! Which heartbeats of the backend server beside a daemon are news.
+//! Filtering of outdated heartbeats from the backend servers of an instance.
+//!
+//! Heartbeats may arrive late or out of order. Accepting an outdated one would send callers to a
+//! server that has left.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -6,137 +9,145 @@
 
 use crate::{EndpointStatus, ServerId};
 
-/// Processes remembered, the one heard longest ago dropped first. An instance runs one server at a
-/// time; dozens of restarts fit, and each late heartbeat of one of them is known as such.
+/// Largest number of processes remembered; the one heard longest ago is removed first. An instance
+/// runs one server at a time, so dozens of restarts fit, and a late heartbeat of any of these
+/// processes is recognised.
 const MAX_PROCESSES: usize = 64;
-/// Silence after which another process may take a server's place although it says that it started
-/// earlier: two missed heartbeats. Clocks step, and a server must not stay out for that.
-const PLACE_LAPSE: Duration = Duration::from_secs(3);
+/// Silence of a process after which another one may take over its address although it reports an
+/// earlier start: two missed heartbeats. Clocks may step back, which must not keep a server out of
+/// service.
+const ADDRESS_TAKEOVER_DELAY: Duration = Duration::from_secs(3);
 
-/// What a backend server says of itself.
+/// State of a backend server as reported by the server itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerHeartbeat {
-    /// How the server calls itself; a later process may take the name again.
+    /// Name of the server; a later process may use it again.
     pub name: String,
-    /// Start of its process on its own clock; zero where it does not tell.
+    /// Start of the process on its own clock; zero if it is not reported.
     pub born: UnixMillis,
-    /// Counts its heartbeats within one process.
+    /// Number of the heartbeat within one process.
     pub sequence: u64,
-    /// Service that it runs.
+    /// Service that the server runs.
     pub service: ServiceName,
-    /// Where it listens.
+    /// Address on which the server listens.
     pub address: SocketAddr,
-    /// Requests that it works on at once.
+    /// Number of requests that the server handles at once.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether the server accepts new work.
     pub status: EndpointStatus,
-    /// How much longer it is slow after its start.
+    /// Remaining time in which the server is slow after its start.
     pub warm_up: Duration,
 }
 
 impl ServerHeartbeat {
-    /// Names the process: the name alone may be used again by a later one.
+    /// Returns the identifier of the process. The name alone may be used again by a later process.
     pub fn process(&self) -> ServerId {
         format!("{}:{}", self.name, self.born)
     }
 }
 
-/// What a heartbeat means for the entry of the server.
+/// Whether a heartbeat is current.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeartbeatVerdict {
-    /// It holds.
+    /// The heartbeat is current and describes the server.
     News,
-    /// It was overtaken by a later one, or its process is gone.
+    /// A later heartbeat arrived before, or the process has left.
     Stale,
 }
 
+/// Last known state of a server process.
 #[derive(Clone, Debug)]
 struct ProcessState {
     born: UnixMillis,
     sequence: u64,
     has_left: bool,
     address: Option<SocketAddr>,
-    heard: Duration,
+    heard_at: Duration,
 }
 
-/// The processes of backend servers that were heard, by name.
+/// The processes of backend servers that sent heartbeats, by server name.
 ///
-/// A heartbeat may arrive seconds late: after its process said that it leaves, or after another
-/// process took its address. Believing it would send callers to a server that is gone, and a
-/// drain that was acknowledged would be broken.
+/// A heartbeat may arrive seconds late: after its process reported that it leaves, or after
+/// another process took over its address. Accepting it would send callers to a server that has
+/// left, and would break a drain that was already acknowledged.
 #[derive(Clone, Debug, Default)]
 pub struct HeartbeatBook {
     processes: BTreeMap<String, ProcessState>,
 }
 
 impl HeartbeatBook {
-    /// Judges a heartbeat that arrives at `now` and remembers it.
+    /// Classifies a heartbeat that arrives at `now`, and remembers it if it is current.
     pub fn judge(&mut self, beat: &ServerHeartbeat, now: Duration) -> HeartbeatVerdict {
-        let held = self.processes.get(&beat.name);
+        let known = self.processes.get(&beat.name);
         let is_draining = beat.status == EndpointStatus::Draining;
-        let is_stale = match held {
-            Some(held) if beat.born < held.born => true,
-            Some(held) if beat.born == held.born => {
-                // A drain holds for the rest of a process's life, also one told late.
-                held.has_left || (beat.sequence <= held.sequence && !is_draining)
+        let is_stale = match known {
+            Some(known) if beat.born < known.born => true,
+            Some(known) if beat.born == known.born => {
+                // A drain stays in force until the process ends, even if its heartbeat arrives
+                // late.
+                known.has_left || (beat.sequence <= known.sequence && !is_draining)
             }
-            _ => self.is_displaced(beat, now),
+            _ => self.is_replaced(beat, now),
         };
         if is_stale {
             return HeartbeatVerdict::Stale;
         }
         let state = ProcessState {
             born: beat.born,
-            sequence: held
-                .filter(|held| held.born == beat.born)
-                .map_or(beat.sequence, |held| held.sequence.max(beat.sequence)),
+            sequence: known
+                .filter(|known| known.born == beat.born)
+                .map_or(beat.sequence, |known| known.sequence.max(beat.sequence)),
             has_left: false,
             address: Some(beat.address),
-            heard: now,
+            heard_at: now,
         };
         self.processes.insert(beat.name.clone(), state);
-        self.forget_old();
+        self.remove_oldest();
         HeartbeatVerdict::News
     }
 
-    /// Notes that a server said good-bye, and gives its process where that is known. `unix_now` is
-    /// this instance's time of day: of a server not heard before, whatever started earlier left.
+    /// Records that a server leaves, and returns the identifier of its process if it is known.
+    /// `unix_now` is the time on the clock of this instance: if the server was not heard before,
+    /// every process with an earlier start counts as left.
     pub fn leave(&mut self, name: &str, unix_now: UnixMillis, now: Duration) -> Option<ServerId> {
         match self.processes.get_mut(name) {
-            Some(held) => {
-                held.has_left = true;
-                Some(format!("{name}:{}", held.born))
+            Some(process) => {
+                process.has_left = true;
+                Some(format!("{name}:{}", process.born))
             }
             None => {
-                // A daemon that restarted may hear the good-bye first and an older heartbeat after.
+                // A restarted daemon may receive the leave report first and an older heartbeat
+                // after it.
                 let state = ProcessState {
                     born: unix_now,
                     sequence: 0,
                     has_left: true,
                     address: None,
-                    heard: now,
+                    heard_at: now,
                 };
                 self.processes.insert(name.to_owned(), state);
-                self.forget_old();
+                self.remove_oldest();
                 None
             }
         }
     }
 
-    /// Tells whether a process not heard before is an older one than that which has its address.
-    fn is_displaced(&self, beat: &ServerHeartbeat, now: Duration) -> bool {
-        self.processes.iter().any(|(name, held)| {
+    /// Returns whether a running process that started later already uses the address of this
+    /// heartbeat.
+    fn is_replaced(&self, beat: &ServerHeartbeat, now: Duration) -> bool {
+        self.processes.iter().any(|(name, state)| {
             *name != beat.name
-                && held.address == Some(beat.address)
-                && held.born > beat.born
-                && !held.has_left
-                && now.saturating_sub(held.heard) < PLACE_LAPSE
+                && state.address == Some(beat.address)
+                && state.born > beat.born
+                && !state.has_left
+                && now.saturating_sub(state.heard_at) < ADDRESS_TAKEOVER_DELAY
         })
     }
 
-    fn forget_old(&mut self) {
+    /// Removes the processes heard longest ago until the bound is met.
+    fn remove_oldest(&mut self) {
         while self.processes.len() > MAX_PROCESSES {
-            let oldest = self.processes.iter().min_by_key(|(_, held)| held.heard);
+            let oldest = self.processes.iter().min_by_key(|(_, state)| state.heard_at);
             let Some(name) = oldest.map(|(name, _)| name.clone()) else { return };
             self.processes.remove(&name);
         }
--- a/components/member/src/marks.rs
+++ b/components/member/src/marks.rs
@@ -1,21 +1,21 @@
-//! What this daemon alone believes of others.
+//! Reachability of other daemons as observed by this daemon alone.
 
 use std::{collections::BTreeMap, sync::Arc};
 
 use derive_more::Display;
 use sk_model::ProxyId;
 
-/// A belief of this daemon about another one.
+/// Reachability of another daemon as observed by this daemon.
 ///
-/// Marks never travel and are no part of records: a record's rank stays the owner's, so that
-/// merging commutes, and a cut between regions ends without either side erasing the other's
-/// records.
+/// Marks are never sent and are not part of records. The rank of a record thus depends on its
+/// owner only and merging stays commutative, and after a network cut between regions neither side
+/// has erased the records of the other.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LocalMark {
-    /// Some observer does not hear it: others are preferred for new work.
+    /// At least one observer does not hear the daemon: others are preferred for new work.
     #[display("suspect")]
     Suspect,
-    /// No observer that this daemon can reach hears it: no new work.
+    /// No observer that this daemon can reach hears the daemon: it gets no new work.
     #[display("unreachable")]
     Unreachable,
 }
--- a/components/member/src/monitor.rs
+++ b/components/member/src/monitor.rs
@@ -1,4 +1,8 @@
-//! Deciding who is suspected, unreachable or gone.
+//! Detection of daemons that are suspected, unreachable or gone.
+//!
+//! One observer may be wrong, because of a broken link, a pause or an overloaded instance. The
+//! monitor therefore combines the silence of its own neighbours with the suspicions of other
+//! observers before it declares a daemon gone.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -6,54 +10,57 @@
 
 use crate::{
     Incarnation, MemberMarks, MemberSuspicion, MemberView, OverlayPlan,
-    book::SuspicionBook,
-    verdict::VerdictCase,
-    watch::{DueWord, NeighbourWatch},
+    assessment::LivenessAssessment,
+    neighbours::{DueSuspicion, NeighbourTracker},
+    suspicion_log::SuspicionLog,
 };
 
-/// How fast and on whose word daemons are given up.
+/// Timeouts and quorum after which daemons are suspected and declared gone.
 #[derive(Clone, Debug)]
 pub struct MonitorOptions {
     /// Silence after which a neighbour is suspected. Default 1.5 s: three heartbeats of 500 ms,
-    /// which leaves half of the 3 s in which a crash is to be known for spreading it.
+    /// which leaves half of the 3 s in which a crash has to be known everywhere for spreading it.
     pub suspect: Duration,
     /// Silence after which a neighbour whose connection was reset is suspected. Default 300 ms:
-    /// longer than opening a connection anew between regions.
-    pub lost_grace: Duration,
-    /// Observers that have to agree. Default 2; more make removal slower where links are few.
+    /// longer than it takes to reopen a connection between regions.
+    pub reset_timeout: Duration,
+    /// Number of observers that have to agree. Default 2; a larger number slows down the removal
+    /// of daemons that have few links.
     pub quorum: usize,
-    /// Time for which a word holds without renewal. Default 120 s: a cut costs one word for each
-    /// cut link and minute, and a withdrawal that was lost is made good in two minutes.
-    pub word_ttl: Duration,
-    /// Time between two ticks from which on this process counts as paused itself. Default 750 ms,
-    /// half of `suspect`: a shorter pause cannot make all neighbours look silent.
-    pub pause: Duration,
+    /// Time for which a suspicion is valid without renewal. Default 120 s: a network cut then
+    /// costs one suspicion for each cut link and minute, and a lost withdrawal takes effect within
+    /// two minutes.
+    pub suspicion_ttl: Duration,
+    /// Time between two ticks above which this process counts as having been paused. Default 750
+    /// ms, half of `suspect`: a shorter pause cannot make all neighbours look silent.
+    pub pause_threshold: Duration,
 }
 
 impl Default for MonitorOptions {
     fn default() -> Self {
         Self {
             suspect: Duration::from_millis(1_500),
-            lost_grace: Duration::from_millis(300),
+            reset_timeout: Duration::from_millis(300),
             quorum: 2,
-            word_ttl: Duration::from_secs(120),
-            pause: Duration::from_millis(750),
+            suspicion_ttl: Duration::from_secs(120),
+            pause_threshold: Duration::from_millis(750),
         }
     }
 }
 
-/// What the monitor asks of its caller.
+/// An action that the caller of the monitor has to take.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MonitorEvent {
-    /// This daemon gives its word: push it to the rumor queue.
+    /// This daemon sends a suspicion or a withdrawal: push it to the rumor queue.
     Spread(MemberSuspicion),
-    /// Enough observers agree: call [`MemberTable::declare_gone`](crate::MemberTable::declare_gone).
+    /// Enough observers agree that a daemon is gone: call
+    /// [`MemberTable::declare_gone`](crate::MemberTable::declare_gone).
     Gone {
-        /// The daemon.
+        /// Name of the daemon.
         proxy: ProxyId,
-        /// Its process.
+        /// Incarnation of the daemon.
         incarnation: Incarnation,
-        /// The sequence at which it is gone.
+        /// Sequence of the record that is declared gone.
         sequence: u64,
     },
     /// The local marks changed: call [`MemberBoard::set_marks`](crate::MemberBoard::set_marks).
@@ -63,116 +70,121 @@
     Paused(Duration),
 }
 
-/// Watches the neighbours and weighs what all observers say.
+/// Monitors the neighbours and evaluates the suspicions of all observers.
 ///
-/// `now` is the time since any fixed start, on a clock that does not go back.
+/// Every `now` is the time since any fixed start on a monotonic clock.
 #[derive(Debug)]
 pub struct LivenessMonitor {
     own: ProxyId,
     round: u64,
     options: MonitorOptions,
-    watch: NeighbourWatch,
-    book: SuspicionBook,
+    neighbours: NeighbourTracker,
+    suspicion_log: SuspicionLog,
     marks: MemberMarks,
     last_tick: Option<Duration>,
-    judge_from: Duration,
-    planned: Option<PlannedView>,
-    judged: Option<JudgedState>,
+    assess_after: Duration,
+    planned_view: Option<PlannedView>,
+    last_assessed: Option<AssessedInput>,
 }
 
-/// The links of a view, kept because planning takes about a millisecond at 780 daemons.
+/// The links of a snapshot, cached because computing them takes about a millisecond at 780
+/// daemons.
 #[derive(Debug)]
 struct PlannedView {
     view: MemberView,
     plan: Arc<OverlayPlan>,
 }
 
-/// What the last verdict was made of.
+/// The inputs of the last assessment.
 ///
-/// A cut lasts for hours, and a verdict at 780 daemons takes about a millisecond: made anew at
-/// each tick it would use up the daemon's share of a core for nothing.
+/// A network cut may last for hours, and an assessment at 780 daemons takes about a millisecond.
+/// Repeating it at each tick with the same inputs would use up the CPU share of the daemon.
 #[derive(Debug, PartialEq, Eq)]
-struct JudgedState {
+struct AssessedInput {
     revision: u64,
     silent: Vec<ProxyId>,
 }
 
 impl LivenessMonitor {
-    /// Makes a monitor for one daemon. Its words are numbered from its incarnation on, so that
-    /// they replace those of the process before it.
+    /// Creates a monitor for one daemon. Its suspicions are numbered from its incarnation on, so
+    /// that they replace those of the previous process.
     pub fn new(own: ProxyId, incarnation: Incarnation, options: MonitorOptions) -> Self {
         Self {
             own,
             round: incarnation,
             options,
-            watch: NeighbourWatch::default(),
-            book: SuspicionBook::default(),
+            neighbours: NeighbourTracker::default(),
+            suspicion_log: SuspicionLog::default(),
             marks: MemberMarks::default(),
             last_tick: None,
-            judge_from: Duration::ZERO,
-            planned: None,
-            judged: None,
+            assess_after: Duration::ZERO,
+            planned_view: None,
+            last_assessed: None,
         }
     }
 
-    /// Sets whom to watch: everyone this daemon shares a link with, whoever opened it. Those who
-    /// are new are given the full time to be heard.
+    /// Sets the daemons to monitor: all that share a link with this daemon, whichever side opened
+    /// it. New neighbours get the full time to be heard.
     pub fn set_neighbours(&mut self, neighbours: impl IntoIterator<Item = ProxyId>, now: Duration) {
-        let wanted: BTreeSet<ProxyId> = neighbours.into_iter().collect();
-        self.watch.set_neighbours(wanted, now, &self.options);
-        self.judged = None;
+        let wanted_neighbours: BTreeSet<ProxyId> = neighbours.into_iter().collect();
+        self.neighbours.set_neighbours(wanted_neighbours, now, &self.options);
+        self.last_assessed = None;
     }
 
-    /// Notes that a neighbour was heard.
+    /// Records that a neighbour was heard at `now`.
     pub fn heard(&mut self, proxy: &str, now: Duration) {
-        self.watch.heard(proxy, now, &self.options);
+        self.neighbours.note_heard(proxy, now, &self.options);
     }
 
-    /// Notes that the connection to a neighbour was reset or refused. The kernel says so at once
-    /// when a process ends, long before silence would.
+    /// Records that the connection to a neighbour was reset or refused. The kernel reports this at
+    /// once when a process ends, long before its silence is noticed.
     pub fn lost(&mut self, proxy: &str, now: Duration) {
-        self.watch.lost(proxy, now);
+        self.neighbours.note_reset(proxy, now);
     }
 
-    /// Notes another observer's word and tells whether it was new and is to be passed on.
-    pub fn note(&mut self, word: MemberSuspicion, now: Duration) -> bool {
-        word.observer != self.own && self.book.note(word, now)
+    /// Adds a suspicion of another observer, and returns whether it was new and has to be passed
+    /// on.
+    pub fn note(&mut self, suspicion: MemberSuspicion, now: Duration) -> bool {
+        suspicion.observer != self.own && self.suspicion_log.insert(suspicion, now)
     }
 
-    /// Gives the marks as of the last tick.
+    /// Returns the marks as of the last tick.
     pub fn marks(&self) -> &MemberMarks {
         &self.marks
     }
 
-    /// Decides what is due. To be called every 100 ms or so; a gap is taken for a pause.
+    /// Evaluates all timers and suspicions, and returns the actions that are due. It has to be
+    /// called about every 100 ms; a longer gap counts as a pause of this process.
     pub fn tick(&mut self, view: &MemberView, now: Duration) -> Vec<MonitorEvent> {
         let gap = now.saturating_sub(self.last_tick.replace(now).unwrap_or(now));
-        if gap > self.options.pause {
-            return self.resume(gap, now);
+        if gap > self.options.pause_threshold {
+            return self.resume_after_pause(gap, now);
         }
-        self.book.expire(now, self.options.word_ttl);
-        let due = self.watch.due_words(view, now, &self.options);
-        let words: Vec<MemberSuspicion> = due.into_iter().map(|due| self.give(due)).collect();
-        for word in &words {
-            self.book.note(word.clone(), now);
+        self.suspicion_log.expire(now, self.options.suspicion_ttl);
+        let due = self.neighbours.due_suspicions(view, now, &self.options);
+        let suspicions: Vec<MemberSuspicion> =
+            due.into_iter().map(|due| self.create_suspicion(due)).collect();
+        for suspicion in &suspicions {
+            self.suspicion_log.insert(suspicion.clone(), now);
         }
-        let mut events: Vec<_> = words.into_iter().map(MonitorEvent::Spread).collect();
-        if now >= self.judge_from {
-            self.judge(view, now, &mut events);
+        let mut events: Vec<_> = suspicions.into_iter().map(MonitorEvent::Spread).collect();
+        if now >= self.assess_after {
+            self.assess(view, now, &mut events);
         }
         events
     }
 
-    // A daemon that wakes finds every neighbour silent for as long as it slept, and words in its
-    // book that were answered meanwhile. Without this it would accuse all of them and remove the
-    // living; what it missed arrives within the time that it waits here.
-    fn resume(&mut self, gap: Duration, now: Duration) -> Vec<MonitorEvent> {
-        self.watch.reset(now);
-        self.judge_from = now + self.options.suspect;
+    // After a pause, every neighbour seems to have been silent, and the log has suspicions that
+    // were refuted meanwhile. Without this delay the daemon would suspect all neighbours and
+    // remove running daemons; what it missed arrives within the delay.
+    fn resume_after_pause(&mut self, gap: Duration, now: Duration) -> Vec<MonitorEvent> {
+        self.neighbours.restart_timers(now);
+        self.assess_after = now + self.options.suspect;
         vec![MonitorEvent::Paused(gap)]
     }
 
-    fn give(&mut self, due: DueWord) -> MemberSuspicion {
+    /// Creates the message for a due suspicion, under the next number of this daemon.
+    fn create_suspicion(&mut self, due: DueSuspicion) -> MemberSuspicion {
         self.round += 1;
         MemberSuspicion {
             proxy: due.proxy,
@@ -184,55 +196,64 @@
         }
     }
 
-    fn judge(&mut self, view: &MemberView, now: Duration, events: &mut Vec<MonitorEvent>) {
-        let silent = self.watch.states(now, &self.options).filter(|(_, is_silent)| *is_silent);
+    /// Updates the marks and adds the events that follow from the current suspicions. Does nothing
+    /// if neither the suspicions nor the links have changed.
+    fn assess(&mut self, view: &MemberView, now: Duration, events: &mut Vec<MonitorEvent>) {
+        let silent =
+            self.neighbours.silence_states(now, &self.options).filter(|(_, is_silent)| *is_silent);
         let silent: Vec<ProxyId> = silent.map(|(proxy, _)| proxy.clone()).collect();
-        let is_quiet = silent.is_empty() && self.book.is_empty();
-        if is_quiet || self.watch.is_empty() {
-            self.judged = None;
+        let has_no_suspicion = silent.is_empty() && self.suspicion_log.is_empty();
+        if has_no_suspicion || self.neighbours.is_empty() {
+            self.last_assessed = None;
             return self.set_marks(MemberMarks::default(), events);
         }
-        let state = JudgedState { revision: self.book.revision(), silent };
+        let input = AssessedInput { revision: self.suspicion_log.revision(), silent };
         let is_planned = self.is_planned(view);
-        if is_planned && self.judged.as_ref() == Some(&state) {
+        if is_planned && self.last_assessed.as_ref() == Some(&input) {
             return;
         }
         let plan = self.plan(view);
-        let case = VerdictCase {
+        let assessment = LivenessAssessment {
             own: &self.own,
             view,
             plan: &plan,
-            accusers: self.book.accusers(view),
-            neighbours: self.watch.states(now, &self.options).collect(),
+            observers_by_suspect: self.suspicion_log.observers_by_suspect(view),
+            neighbours: self.neighbours.silence_states(now, &self.options).collect(),
             quorum: self.options.quorum.max(1),
         };
-        let reached = case.reached();
-        let marks = case.marks(&reached);
-        for proxy in case.gone(&reached) {
+        let reached = assessment.find_reached();
+        let marks = assessment.make_marks(&reached);
+        for proxy in assessment.find_gone(&reached) {
             let record = &view[&proxy];
             let (incarnation, sequence) = (record.incarnation, record.sequence);
             events.push(MonitorEvent::Gone { proxy, incarnation, sequence });
         }
-        self.judged = Some(state);
+        self.last_assessed = Some(input);
         self.set_marks(marks, events);
     }
 
-    /// Gives the links planned for a view; they are computed only when they can have changed.
+    /// Returns the links for a snapshot; they are computed only if they may have changed.
     pub fn plan(&mut self, view: &MemberView) -> Arc<OverlayPlan> {
-        let plan = match &self.planned {
-            Some(planned) if Arc::ptr_eq(&planned.view, view) => return planned.plan.clone(),
-            Some(planned) if planned.plan.is_plan_of(view) => planned.plan.clone(),
+        let plan = match &self.planned_view {
+            Some(planned_view) if Arc::ptr_eq(&planned_view.view, view) => {
+                return planned_view.plan.clone();
+            }
+            Some(planned_view) if planned_view.plan.is_current_for(view) => {
+                planned_view.plan.clone()
+            }
             _ => Arc::new(OverlayPlan::new(view)),
         };
-        self.planned = Some(PlannedView { view: view.clone(), plan: plan.clone() });
-        self.judged = None;
+        self.planned_view = Some(PlannedView { view: view.clone(), plan: plan.clone() });
+        self.last_assessed = None;
         plan
     }
 
+    /// Returns whether the cached links were computed from this very snapshot.
     fn is_planned(&self, view: &MemberView) -> bool {
-        self.planned.as_ref().is_some_and(|planned| Arc::ptr_eq(&planned.view, view))
+        self.planned_view.as_ref().is_some_and(|planned_view| Arc::ptr_eq(&planned_view.view, view))
     }
 
+    /// Replaces the marks, and adds an event if they changed.
     fn set_marks(&mut self, marks: MemberMarks, events: &mut Vec<MonitorEvent>) {
         if self.marks != marks {
             self.marks = marks.clone();
--- a/components/member/src/overlay.rs
+++ b/components/member/src/overlay.rs
@@ -1,4 +1,8 @@
-//! Which daemons keep a control connection to each other.
+//! The overlay network: which daemons keep a control connection to each other.
+//!
+//! Every daemon computes the same links from the same records. A few links for each daemon keep
+//! the number of heartbeats low, and several disjoint paths keep the fleet connected when daemons
+//! or whole data centres fail.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,35 +13,41 @@
     digest::{name_hash, pair_hash},
 };
 
-/// Rings through all members of a data centre, each in an order drawn by another hash; a daemon
-/// links to the next one in each. Together they are close to a random regular graph: everyone has
-/// 8 neighbours there, a flood doubles and doubles again, and losing one in ten parts nobody.
+/// Salts of the rings through all members of a data centre; each ring is ordered by another hash,
+/// and each daemon links to the next one in each ring.
 ///
-/// Ruled out: fingers by rank in order of names, where each restart moves the links of its whole
-/// data centre; fingers by place on one hashed ring, where one daemon of 780 had 32 neighbours.
+/// Together the rings are close to a random regular graph: every daemon has 8 neighbours, a flood
+/// doubles with each step, and the loss of one daemon in ten separates no daemon from the others.
+///
+/// Rejected alternatives: fingers by rank in the order of names, where each restart moves the
+/// links of the whole data centre, and fingers by position on one hashed ring, where one daemon of
+/// 780 had 32 neighbours.
 const RING_SALTS: [u64; 4] = [1, 2, 3, 4];
-/// Fingers between data centres reach 1, 2, 4, … places ahead: at 9 data centres two steps join
-/// any two. Measured at 780 daemons, a flood takes 8 steps; with base 3 it takes 9.
-const CENTRE_BASE: usize = 2;
-/// Links between two data centres that are joined. Three ends on different daemons, so that no
-/// two failures separate them; a fourth shortens no flood and only adds heartbeats between regions.
-const BRIDGES: usize = 3;
-/// Most links one daemon chooses. Bounds heartbeats also for data centres of one daemon each.
-const MAX_LINKS: usize = 10;
-
-/// Links that every daemon chooses, computed alike from one view.
+/// Base of the distances between linked data centres: fingers reach 1, 2, 4, … positions ahead. At
+/// 9 data centres two steps connect any two. At 780 daemons a flood takes 8 steps; with base 3 it
+/// takes 9.
+const CENTRE_FINGER_BASE: usize = 2;
+/// Number of links between two linked data centres. 3 links on different daemons stay connected
+/// through any two failures; a fourth shortens no flood and only adds heartbeats between regions.
+const BRIDGES_PER_CENTRE_PAIR: usize = 3;
+/// Largest number of links that one daemon opens. It bounds the heartbeats also if each data
+/// centre has only one daemon.
+const MAX_OPENED_LINKS: usize = 10;
+
+/// The links of all daemons, computed identically on each daemon from one snapshot of the records.
 ///
-/// Made for 780 daemons in 9 data centres: several rings within each data centre, and bridges
-/// between data centres that form a ring with fingers, ordered by region. A daemon that comes or
-/// goes changes its own links and few others.
+/// Designed for 780 daemons in 9 data centres: several rings within each data centre, and bridges
+/// between data centres, which form a ring with fingers ordered by region. A daemon that joins or
+/// leaves changes its own links and few others.
 #[derive(Clone, Debug)]
 pub struct OverlayPlan {
-    /// What the links were planned from, in order of names.
+    /// Members that the links were computed from, in order of their names.
     members: Vec<PlanMember>,
-    /// Links by place in `members`.
+    /// Links by index in `members`.
     links: Vec<LinkList>,
 }
 
+/// The parts of a record that determine the links.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct PlanMember {
     proxy: ProxyId,
@@ -46,14 +56,15 @@
     hash: u64,
 }
 
+/// Links of one member: those that it opens, and all that it shares with another member.
 #[derive(Clone, Debug, Default)]
 struct LinkList {
-    chosen: Vec<usize>,
-    linked: Vec<usize>,
+    opened: Vec<usize>,
+    shared: Vec<usize>,
 }
 
 impl OverlayPlan {
-    /// Plans the links between the members that run.
+    /// Computes the links between the running members.
     pub fn new(view: &MemberView) -> Self {
         let member = |record: &MemberRecord| PlanMember {
             proxy: record.proxy.clone(),
@@ -68,16 +79,17 @@
         for centre in &centres {
             plan.add_rings(&centre.members);
         }
-        for (place, near) in centres.iter().enumerate() {
+        for (index, near) in centres.iter().enumerate() {
             for step in ring_steps(centres.len()) {
-                plan.add_bridges(near, &centres[(place + step) % centres.len()]);
+                plan.add_bridges(near, &centres[(index + step) % centres.len()]);
             }
         }
         plan
     }
 
-    /// Tells whether a view leads to the same links: drains and changed endpoints move none.
-    pub fn is_plan_of(&self, view: &MemberView) -> bool {
+    /// Returns whether a snapshot leads to the same links. Drains and changed endpoints do not
+    /// change links.
+    pub fn is_current_for(&self, view: &MemberView) -> bool {
         let is_same = |(member, record): (&PlanMember, &MemberRecord)| {
             member.proxy == record.proxy
                 && member.data_centre == record.data_centre
@@ -87,61 +99,62 @@
             && self.members.iter().zip(running(view)).all(is_same)
     }
 
-    /// Lists the daemons that `proxy` connects to.
+    /// Returns the daemons that `proxy` opens a connection to.
     pub fn chosen(&self, proxy: &str) -> Vec<ProxyId> {
         let links = self.links_of(proxy);
         links
             .into_iter()
-            .flat_map(|links| &links.chosen)
+            .flat_map(|links| &links.opened)
             .map(|to| self.members[*to].proxy.clone())
             .collect()
     }
 
-    /// Lists the daemons that `proxy` shares a link with, whoever opened it. These are to be
-    /// watched.
+    /// Returns the daemons that `proxy` shares a link with, whichever side opened it. These are
+    /// the daemons to monitor.
     pub fn neighbours(&self, proxy: &str) -> impl Iterator<Item = &ProxyId> {
         let links = self.links_of(proxy);
-        links.into_iter().flat_map(|links| &links.linked).map(|to| &self.members[*to].proxy)
+        links.into_iter().flat_map(|links| &links.shared).map(|to| &self.members[*to].proxy)
     }
 
-    /// Finds the daemons that a flood from `starts` reaches without passing `own` and without the
-    /// closed links, together with `own`.
-    pub(crate) fn reach<'a>(
+    /// Returns `own` and the daemons that a flood from `starts` reaches without passing `own` or
+    /// any of the closed links.
+    pub(crate) fn find_reached<'a>(
         &'a self,
         own: &'a ProxyId,
         starts: impl Iterator<Item = &'a ProxyId>,
         closed: impl Iterator<Item = (&'a ProxyId, &'a ProxyId)>,
     ) -> BTreeSet<&'a ProxyId> {
         let pair = |(first, second): (&'a ProxyId, &'a ProxyId)| {
-            Some((self.place_of(first)?, self.place_of(second)?))
+            Some((self.index_of(first)?, self.index_of(second)?))
         };
         let closed: BTreeSet<(usize, usize)> = closed.filter_map(pair).collect();
         let mut is_reached = vec![false; self.members.len()];
-        let own_place = self.place_of(own);
-        own_place.into_iter().for_each(|place| is_reached[place] = true);
-        let mut frontier: Vec<usize> = starts.filter_map(|proxy| self.place_of(proxy)).collect();
-        while let Some(place) = frontier.pop() {
-            if std::mem::replace(&mut is_reached[place], true) {
+        let own_index = self.index_of(own);
+        own_index.into_iter().for_each(|index| is_reached[index] = true);
+        let mut frontier: Vec<usize> = starts.filter_map(|proxy| self.index_of(proxy)).collect();
+        while let Some(index) = frontier.pop() {
+            if std::mem::replace(&mut is_reached[index], true) {
                 continue;
             }
             let is_open = |next: &&usize| {
-                !closed.contains(&(place, **next)) && !closed.contains(&(**next, place))
+                !closed.contains(&(index, **next)) && !closed.contains(&(**next, index))
             };
-            frontier.extend(self.links[place].linked.iter().filter(is_open));
+            frontier.extend(self.links[index].shared.iter().filter(is_open));
         }
         let reached = self.members.iter().zip(is_reached).filter(|(_, is_reached)| *is_reached);
         reached.map(|(member, _)| &member.proxy).chain([own]).collect()
     }
 
-    fn place_of(&self, proxy: &str) -> Option<usize> {
+    fn index_of(&self, proxy: &str) -> Option<usize> {
         self.members.binary_search_by(|member| member.proxy.as_str().cmp(proxy)).ok()
     }
 
     fn links_of(&self, proxy: &str) -> Option<&LinkList> {
-        let place = self.place_of(proxy)?;
-        self.links.get(place)
+        let index = self.index_of(proxy)?;
+        self.links.get(index)
     }
 
+    /// Links each member to the next one on every ring of the data centre.
     fn add_rings(&mut self, members: &[usize]) {
         let mut ring = members.to_vec();
         for salt in RING_SALTS {
@@ -154,6 +167,7 @@
         }
     }
 
+    /// Links the ends of the bridges between two data centres.
     fn add_bridges(&mut self, near: &CentreGroup, far: &CentreGroup) {
         let near_ends = self.bridge_ends(near, far.name);
         let far_ends = self.bridge_ends(far, near.name);
@@ -162,32 +176,34 @@
         }
     }
 
-    // Drawn by hash, so that the bridges to different data centres end on different daemons.
+    // Ordered by hash, so that the bridges to different data centres end on different daemons.
     fn bridge_ends(&self, centre: &CentreGroup, far: &str) -> Vec<usize> {
         let mut ends = centre.members.clone();
         let far = name_hash(far);
         ends.sort_by_cached_key(|member| (pair_hash(far, self.members[*member].hash), *member));
-        ends.truncate(BRIDGES);
+        ends.truncate(BRIDGES_PER_CENTRE_PAIR);
         ends
     }
 
+    /// Adds a link that `first` opens, unless it exists or `first` opens enough links already.
     fn add_link(&mut self, first: usize, second: usize) {
         let links = &mut self.links[first];
-        let is_linked = first == second || links.linked.contains(&second);
-        if is_linked || links.chosen.len() >= MAX_LINKS {
+        let is_linked = first == second || links.shared.contains(&second);
+        if is_linked || links.opened.len() >= MAX_OPENED_LINKS {
             return;
         }
-        links.chosen.push(second);
-        links.linked.push(second);
-        self.links[second].linked.push(first);
+        links.opened.push(second);
+        links.shared.push(second);
+        self.links[second].shared.push(first);
     }
 }
 
-/// Lists the few daemons that `own` keeps a control connection to.
+/// Returns the daemons that `own` opens a control connection to.
 pub fn choose_links(view: &MemberView, own: &str) -> Vec<ProxyId> {
     OverlayPlan::new(view).chosen(own)
 }
 
+/// A data centre with the indices of its members.
 struct CentreGroup<'a> {
     name: &'a str,
     members: Vec<usize>,
@@ -197,18 +213,19 @@
     view.values().map(|record| &**record).filter(|record| record.is_running())
 }
 
-// Ordered by region, then data centre, then name: the same on every daemon.
+// Ordered by region, data centre and name, which is the same on every daemon.
 fn group_members<'a>(records: impl Iterator<Item = &'a MemberRecord>) -> Vec<CentreGroup<'a>> {
     let mut centres: BTreeMap<(&str, &str), Vec<usize>> = BTreeMap::new();
-    for (place, record) in records.enumerate() {
-        centres.entry((&record.region, &record.data_centre)).or_default().push(place);
+    for (index, record) in records.enumerate() {
+        centres.entry((&record.region, &record.data_centre)).or_default().push(index);
     }
     let group = |((_, name), members)| CentreGroup { name, members };
     centres.into_iter().map(group).collect()
 }
 
+/// Returns the distances between linked data centres on a ring of `len` data centres.
 fn ring_steps(len: usize) -> impl Iterator<Item = usize> {
-    // Beyond half the ring, a finger only repeats a shorter one from the other side.
-    std::iter::successors(Some(1), |step| Some(step * CENTRE_BASE))
+    // Beyond half the ring, a finger only repeats a shorter one from the other direction.
+    std::iter::successors(Some(1), |step| Some(step * CENTRE_FINGER_BASE))
         .take_while(move |step| *step <= len / 2)
 }
--- a/components/member/src/record.rs
+++ b/components/member/src/record.rs
@@ -1,4 +1,7 @@
 //! The record that each daemon spreads about itself and its backend server.
+//!
+//! Records about one daemon are totally ordered, so that all daemons end with the same record in
+//! whatever order they receive them.
 
 use std::{cmp::Ordering, net::SocketAddr};
 
@@ -6,65 +9,68 @@
 use serde::{Deserialize, Serialize};
 use sk_model::{DataCentre, ProxyId, ServiceName};
 
-/// Start of a daemon's process, in milliseconds since the epoch; a later process has a greater one.
+/// Start of a daemon's process in milliseconds since the Unix epoch; a later process has a greater
+/// value.
 pub type Incarnation = u64;
-/// Identifier a backend server's process draws at its start; never used by two processes.
+/// Identifier of a backend server's process, drawn at its start and never used by two processes.
 pub type ServerId = String;
 
-/// Whether a daemon takes part.
+/// Participation of a daemon in the fleet.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MemberStatus {
-    /// Takes part.
+    /// Accepts new work.
     #[display("alive")]
     Alive,
-    /// Observers lost it, but too few to count it as gone.
+    /// Some observers do not hear from it, but too few to count it as gone.
     #[display("suspect")]
     Suspect,
-    /// Finishes what it has and takes no new work.
+    /// Finishes its running requests and accepts no new work.
     #[display("leaving")]
     Leaving,
-    /// Gone, until a record with a greater sequence or incarnation says otherwise.
+    /// Gone, until a record with a greater sequence or incarnation replaces this one.
     #[display("gone")]
     Gone,
 }
 
-/// Whether a backend server takes new work.
+/// Readiness of a backend server for new work.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EndpointStatus {
-    /// Takes new work.
+    /// Accepts new work.
     #[display("ready")]
     Ready,
-    /// Finishes what it has.
+    /// Finishes its running requests and accepts no new work.
     #[display("draining")]
     Draining,
 }
 
-/// A backend server beside a daemon.
+/// A backend server on the instance of a daemon.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EndpointRecord {
-    /// Service the server runs.
+    /// Service that the server runs.
     pub service: ServiceName,
-    /// The server's process.
+    /// Identifier of the server process.
     pub server: ServerId,
-    /// Requests the server works on at once.
+    /// Number of requests that the server handles at once.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether the server accepts new work.
     pub status: EndpointStatus,
 }
 
-/// What a daemon says of itself. Only its owner raises the sequence; others may spread a copy
-/// whose status is [`MemberStatus::Suspect`] or [`MemberStatus::Gone`] at the same sequence.
+/// Description of a daemon, published by the daemon itself.
+///
+/// Only the owner raises the sequence. Other daemons may spread a copy with the status
+/// [`MemberStatus::Suspect`] or [`MemberStatus::Gone`] at the same sequence.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
     /// Name of the daemon.
     pub proxy: ProxyId,
-    /// Process of the daemon.
+    /// Start of the daemon process.
     pub incarnation: Incarnation,
-    /// Counts the owner's own changes within one incarnation.
+    /// Number of changes that the owner made within one incarnation.
     pub sequence: u64,
-    /// Whether the daemon takes part.
+    /// Participation of the daemon.
     pub status: MemberStatus,
     /// Data centre of the instance.
     pub data_centre: DataCentre,
@@ -74,12 +80,13 @@
     pub control: SocketAddr,
     /// Address for requests to the local backend server.
     pub guard: SocketAddr,
-    /// Backend servers beside the daemon.
+    /// Backend servers on the instance of the daemon.
     pub endpoints: Vec<EndpointRecord>,
 }
 
 impl MemberRecord {
-    /// Gives the order of records about one daemon: the greater one holds.
+    /// Returns the rank of the record among records about one daemon: the record with the greatest
+    /// rank is valid.
     pub fn rank(&self) -> (Incarnation, u64, u8) {
         let status = match self.status {
             MemberStatus::Alive => 0,
@@ -90,27 +97,30 @@
         (self.incarnation, self.sequence, status)
     }
 
-    /// Compares two records about one daemon. It is a total order, so that whatever order records
-    /// come in, all daemons end with the same one.
+    /// Compares two records about one daemon.
     ///
-    /// Only two processes that started in the same millisecond under one name can say different
-    /// things at one rank; the order of their words is arbitrary but the same everywhere.
+    /// The order is total, so that all daemons end with the same record in whatever order they
+    /// receive them. Records of equal rank differ only if two processes with one name started in
+    /// the same millisecond; their order is arbitrary, but the same on every daemon.
     pub fn cmp_rank(&self, other: &Self) -> Ordering {
         let content = |record: &Self| (record.control, record.guard, record.region.clone());
-        let by_rank = self.rank().cmp(&other.rank());
-        by_rank
+        let rank_order = self.rank().cmp(&other.rank());
+        rank_order
             .then_with(|| content(self).cmp(&content(other)))
             .then_with(|| self.data_centre.cmp(&other.data_centre))
             .then_with(|| self.endpoints.cmp(&other.endpoints))
     }
 
-    /// Tells whether the daemon's process is believed to run. One that leaves finishes requests,
-    /// which make calls of their own, for up to minutes: it stays in the overlay until it is gone.
+    /// Returns whether the daemon's process is believed to run.
+    ///
+    /// A leaving daemon finishes requests, which make calls of their own, for up to minutes. It
+    /// therefore stays in the overlay until it is gone.
     pub fn is_running(&self) -> bool {
         self.status != MemberStatus::Gone
     }
 
-    /// Tells whether the daemon is believed reachable for control traffic, and stays.
+    /// Returns whether the daemon is believed to be reachable for control traffic and is not
+    /// leaving.
     pub fn is_present(&self) -> bool {
         matches!(self.status, MemberStatus::Alive | MemberStatus::Suspect)
     }
--- a/components/member/src/suspicion.rs
+++ b/components/member/src/suspicion.rs
@@ -1,26 +1,26 @@
-//! What one observer says of a daemon that it no longer hears.
+//! Suspicions: reports of an observer that it no longer hears another daemon.
 
 use serde::{Deserialize, Serialize};
 use sk_model::ProxyId;
 
 use crate::Incarnation;
 
-/// An observer's word that it does not hear a daemon, or that it hears it again.
+/// A report of an observer that it does not hear a daemon, or that it hears it again.
 ///
-/// A word holds until the daemon's owner raises its sequence, the observer takes it back, or it
-/// expires. Words of one observer about one daemon are ordered by `round`.
+/// A suspicion is valid until the suspected daemon raises its sequence, the observer withdraws it,
+/// or it expires. Reports of one observer about one daemon are ordered by `round`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MemberSuspicion {
-    /// The daemon that is not heard.
+    /// Name of the suspected daemon.
     pub proxy: ProxyId,
-    /// Its process, as the observer knew it.
+    /// Incarnation of the suspected daemon as known to the observer.
     pub incarnation: Incarnation,
-    /// Its sequence, as the observer knew it.
+    /// Sequence of the suspected daemon as known to the observer.
     pub sequence: u64,
-    /// The daemon that speaks.
+    /// Name of the observer.
     pub observer: ProxyId,
-    /// Grows with each word of the observer, also over its restarts: it starts at the observer's
-    /// incarnation.
+    /// Number of the report. It grows with each report of the observer, also across restarts of
+    /// the observer, because it starts at its incarnation.
     pub round: u64,
     /// Whether the observer hears the daemon again.
     pub is_withdrawn: bool,
--- a/components/member/src/table.rs
+++ b/components/member/src/table.rs
@@ -1,4 +1,8 @@
-//! What one daemon believes of all others.
+//! The records of all daemons as known to one daemon.
+//!
+//! Merging is commutative, associative and idempotent, so that all daemons end with the same
+//! records. A daemon that finds itself reported as gone refutes this, because its callers would
+//! otherwise be refused although it runs.
 
 use std::{
     cmp::Ordering,
@@ -14,77 +18,79 @@
     ServerId, digest::bucket_of, tombstone::TombstoneList,
 };
 
-/// Times a daemon answers a record of a later process with its name. A process whose instance's
-/// clock went back needs one answer for each older record still about; two processes that run
-/// under one name would answer each other for ever, and each answer travels to all.
-const MAX_RAISES: u32 = 8;
+/// Largest number of times a daemon raises its incarnation above that of a record of a later
+/// process with its name. A process whose clock was set back needs one raise for each older record
+/// still in circulation; two processes that run under one name would outrank each other without
+/// end, and each raise is sent to all daemons.
+const MAX_INCARNATION_RAISES: u32 = 8;
 
-/// What merging one record did.
+/// Result of merging one record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// The record was newer and now holds.
+    /// The record was newer and replaced the known one.
     Newer,
     /// The record was already known.
     Known,
-    /// A newer record is known, which the sender should learn.
+    /// A newer record is already known; the sender should learn it.
     Older,
-    /// The record spoke ill of this daemon, which answered with a greater one of its own.
+    /// The record outranked the one of this daemon, which refuted it with a greater one.
     Refuted,
-    /// Another process runs under this daemon's name and was answered too often.
+    /// Another process uses the name of this daemon, and was outranked too often.
     Clash,
 }
 
-/// All records, by daemon.
+/// The records of all daemons, by name.
 #[derive(Clone, Debug)]
 pub struct MemberTable {
     own: ProxyId,
     records: BTreeMap<ProxyId, Arc<MemberRecord>>,
     digest: MemberDigest,
     tombstones: TombstoneList,
-    withdrawn: BTreeSet<ServerId>,
-    raises: u32,
+    withdrawn_servers: BTreeSet<ServerId>,
+    incarnation_raises: u32,
 }
 
 impl MemberTable {
-    /// Makes a table that knows only its own daemon.
+    /// Creates a table with the record of its own daemon only.
     pub fn new(record: MemberRecord) -> Self {
         let mut table = Self {
             own: record.proxy.clone(),
             records: BTreeMap::new(),
             digest: MemberDigest::default(),
             tombstones: TombstoneList::default(),
-            withdrawn: BTreeSet::new(),
-            raises: 0,
+            withdrawn_servers: BTreeSet::new(),
+            incarnation_raises: 0,
         };
         table.insert(record);
         table
     }
 
-    /// Gives this daemon's own record.
+    /// Returns the record of this daemon.
     ///
     /// # Panics
     ///
-    /// Never: the own record is put in by [`MemberTable::new`] and never removed.
+    /// Never: [`MemberTable::new`] inserts the own record, and it is never removed.
     pub fn own(&self) -> &Arc<MemberRecord> {
         &self.records[&self.own]
     }
 
-    /// Gives all records, in order of the daemons' names.
+    /// Returns all records in order of the daemon names.
     pub fn records(&self) -> &BTreeMap<ProxyId, Arc<MemberRecord>> {
         &self.records
     }
 
-    /// Gives the digest of all records that are passed on.
+    /// Returns the digest of all records that are sent to other daemons.
     pub fn digest(&self) -> &MemberDigest {
         &self.digest
     }
 
-    /// Lists the records of some buckets, for a peer whose digest differs in them.
+    /// Returns the records of some buckets, for a peer whose digest differs in them.
     pub fn records_in(&self, buckets: &[usize]) -> Vec<Arc<MemberRecord>> {
-        let is_wanted = |record: &&Arc<MemberRecord>| {
-            buckets.contains(&bucket_of(&record.proxy)) && !self.tombstones.is_hidden(&record.proxy)
+        let is_requested = |record: &&Arc<MemberRecord>| {
+            buckets.contains(&bucket_of(&record.proxy))
+                && !self.tombstones.is_withheld(&record.proxy)
         };
-        self.records.values().filter(is_wanted).cloned().collect()
+        self.records.values().filter(is_requested).cloned().collect()
     }
 
     /// Merges a record from a peer. Merging is commutative, associative and idempotent.
@@ -93,7 +99,7 @@
         if record.proxy == self.own {
             return self.merge_own(&record);
         }
-        match self.records.get(&record.proxy).map(|held| record.cmp_rank(held)) {
+        match self.records.get(&record.proxy).map(|known| record.cmp_rank(known)) {
             Some(Ordering::Equal) => MergeOutcome::Known,
             Some(Ordering::Less) => MergeOutcome::Older,
             Some(Ordering::Greater) | None => {
@@ -103,24 +109,26 @@
         }
     }
 
-    /// Answers another observer's word about this daemon with a greater sequence, and tells
-    /// whether there was need to.
-    pub fn refute(&mut self, word: &MemberSuspicion) -> bool {
-        let held = self.own();
-        let is_answered = (word.incarnation, word.sequence) < (held.incarnation, held.sequence);
-        if word.proxy != self.own || word.is_withdrawn || is_answered {
+    /// Refutes a suspicion about this daemon by raising its sequence, and returns whether that was
+    /// necessary.
+    pub fn refute(&mut self, suspicion: &MemberSuspicion) -> bool {
+        let own_record = self.own();
+        let is_refuted = (suspicion.incarnation, suspicion.sequence)
+            < (own_record.incarnation, own_record.sequence);
+        if suspicion.proxy != self.own || suspicion.is_withdrawn || is_refuted {
             return false;
         }
-        self.answer(word.incarnation, word.sequence) == MergeOutcome::Refuted
+        self.outrank(suspicion.incarnation, suspicion.sequence) == MergeOutcome::Refuted
     }
 
-    /// Counts a daemon as gone, where the given record still holds, and tells whether it does.
+    /// Sets the status of a daemon to gone if the given record is still current, and returns
+    /// whether it was.
     pub fn declare_gone(&mut self, proxy: &str, incarnation: Incarnation, sequence: u64) -> bool {
-        let is_meant = |record: &&Arc<MemberRecord>| {
+        let is_current = |record: &&Arc<MemberRecord>| {
             (record.incarnation, record.sequence) == (incarnation, sequence)
                 && record.status != MemberStatus::Gone
         };
-        let Some(record) = self.records.get(proxy).filter(is_meant) else { return false };
+        let Some(record) = self.records.get(proxy).filter(is_current) else { return false };
         if record.proxy == self.own {
             return false;
         }
@@ -129,101 +137,106 @@
         true
     }
 
-    /// Drops tombstones that were kept for long enough, and tells how many records went. To be
-    /// called every few seconds.
+    /// Removes expired tombstones and returns their number. It has to be called every few seconds.
     pub fn expire(&mut self, now: Duration) -> usize {
         let is_gone = |record: &&Arc<MemberRecord>| !record.is_running();
         let gone = self.records.values().filter(is_gone).map(|record| &record.proxy);
         let outcome = self.tombstones.sweep(gone.filter(|proxy| **proxy != self.own), now);
-        for proxy in &outcome.hidden {
+        for proxy in &outcome.withheld {
             self.digest.remove(&self.records[proxy]);
         }
-        for proxy in &outcome.dropped {
+        for proxy in &outcome.expired {
             self.remove(proxy);
         }
-        outcome.dropped.len()
+        outcome.expired.len()
     }
 
-    /// Replaces the backend servers beside this daemon and tells whether that changed anything.
+    /// Replaces the backend servers of this daemon and returns whether they changed.
     ///
-    /// Servers that were withdrawn stay out until [`MemberTable::readmit_server`].
+    /// Withdrawn servers are left out until [`MemberTable::readmit_server`] is called for them.
     pub fn set_endpoints(&mut self, mut endpoints: Vec<EndpointRecord>) -> bool {
-        endpoints.retain(|endpoint| !self.withdrawn.contains(&endpoint.server));
+        endpoints.retain(|endpoint| !self.withdrawn_servers.contains(&endpoint.server));
         if self.own().endpoints == endpoints {
             return false;
         }
         let sequence = self.own().sequence;
-        self.raise(sequence, |record| record.endpoints = endpoints);
+        self.update_own(sequence, |record| record.endpoints = endpoints);
         true
     }
 
-    /// Takes back what this daemon said of its backend servers, and tells whether there were any.
+    /// Withdraws the backend servers of this daemon and returns whether there were any.
     ///
-    /// A process that was paused does not know whether its servers still run. Announcing them
-    /// from memory would send callers to a server that left meanwhile; so each server has to
-    /// announce itself anew, see [`MemberTable::readmit_server`].
+    /// A process that was paused does not know whether its servers still run. Announcing them from
+    /// memory would send callers to a server that left meanwhile. Each server therefore has to
+    /// announce itself again, see [`MemberTable::readmit_server`].
     pub fn withdraw_endpoints(&mut self) -> bool {
         let endpoints = self.own().endpoints.clone();
-        // Only the last pause counts: the set holds no more than one daemon's servers.
-        self.withdrawn.extend(endpoints.iter().map(|endpoint| endpoint.server.clone()));
+        // Only the servers listed before this pause are added, so the set holds no more than the
+        // servers of one daemon.
+        self.withdrawn_servers.extend(endpoints.iter().map(|endpoint| endpoint.server.clone()));
         self.set_endpoints(Vec::new())
     }
 
-    /// Notes that a backend server announced itself, so that it may be listed again.
+    /// Allows a withdrawn backend server to be listed again after it announced itself.
     pub fn readmit_server(&mut self, server: &str) {
-        self.withdrawn.remove(server);
+        self.withdrawn_servers.remove(server);
     }
 
-    /// Sets this daemon's own status and tells whether that changed anything.
+    /// Sets the status of this daemon and returns whether it changed.
     pub fn set_status(&mut self, status: MemberStatus) -> bool {
         if self.own().status == status {
             return false;
         }
         let sequence = self.own().sequence;
-        self.raise(sequence, |record| record.status = status);
+        self.update_own(sequence, |record| record.status = status);
         true
     }
 
-    // A daemon that was paused may find itself declared gone. Its callers would then be refused
-    // for as long as the others believe it; a greater sequence of its own ends that.
+    // A daemon that was paused may find itself declared gone. Its callers would be refused for as
+    // long as the others believe this; a greater sequence of its own ends it.
     fn merge_own(&mut self, record: &MemberRecord) -> MergeOutcome {
         match record.cmp_rank(self.own()) {
             Ordering::Less | Ordering::Equal => MergeOutcome::Known,
-            Ordering::Greater => self.answer(record.incarnation, record.sequence),
+            Ordering::Greater => self.outrank(record.incarnation, record.sequence),
         }
     }
 
-    // A greater incarnation under this name is either this instance's process before, which
-    // started while the clock was ahead, or another process with the same name. The first is
-    // answered once and silent ever after; without the answer nobody would believe this process
-    // until its clock had caught up.
-    fn answer(&mut self, incarnation: Incarnation, sequence: u64) -> MergeOutcome {
-        let held = self.own();
-        if incarnation <= held.incarnation {
-            self.raise(sequence.max(held.sequence), |_| ());
+    // A greater incarnation under this name belongs either to the previous process of this
+    // instance, which started while the clock was ahead, or to another process with the same name.
+    // The first is outranked once and does not return; without outranking it, nobody would accept
+    // records of this process until its clock had caught up.
+    fn outrank(&mut self, incarnation: Incarnation, sequence: u64) -> MergeOutcome {
+        let own_record = self.own();
+        if incarnation <= own_record.incarnation {
+            self.update_own(sequence.max(own_record.sequence), |_| ());
             return MergeOutcome::Refuted;
         }
         match incarnation.checked_add(1) {
-            Some(next) if self.raises < MAX_RAISES => {
-                log::warn!("member: {} was seen with a later start; taking {next}.", self.own);
-                self.raises += 1;
-                self.raise(sequence, |record| record.incarnation = next);
+            Some(next) if self.incarnation_raises < MAX_INCARNATION_RAISES => {
+                log::warn!(
+                    "member: {} is known with a later incarnation; raising the own one to {next}.",
+                    self.own
+                );
+                self.incarnation_raises += 1;
+                self.update_own(sequence, |record| record.incarnation = next);
                 MergeOutcome::Refuted
             }
             _ => {
-                log::error!("member: another process uses the name {}.", self.own);
+                log::error!("member: another process uses the daemon name {}.", self.own);
                 MergeOutcome::Clash
             }
         }
     }
 
-    fn raise(&mut self, sequence: u64, change: impl FnOnce(&mut MemberRecord)) {
+    /// Replaces the own record by a changed copy whose sequence is one above the given one.
+    fn update_own(&mut self, sequence: u64, change: impl FnOnce(&mut MemberRecord)) {
         let mut record = MemberRecord::clone(self.own());
         record.sequence = sequence.saturating_add(1);
         change(&mut record);
         self.insert(record);
     }
 
+    /// Replaces the record of a daemon and updates the digest.
     fn insert(&mut self, record: impl Into<Arc<MemberRecord>>) {
         let record = record.into();
         self.remove(&record.proxy);
@@ -231,11 +244,12 @@
         self.records.insert(record.proxy.clone(), record);
     }
 
+    /// Removes the record of a daemon. A withheld tombstone has already left the digest.
     fn remove(&mut self, proxy: &str) {
-        let is_hidden = self.tombstones.is_hidden(proxy);
-        self.tombstones.forget(proxy);
-        if let Some(held) = self.records.remove(proxy).filter(|_| !is_hidden) {
-            self.digest.remove(&held);
+        let is_withheld = self.tombstones.is_withheld(proxy);
+        self.tombstones.remove(proxy);
+        if let Some(removed) = self.records.remove(proxy).filter(|_| !is_withheld) {
+            self.digest.remove(&removed);
         }
     }
 }
--- a/components/member/src/tree.rs
+++ b/components/member/src/tree.rs
@@ -1,4 +1,4 @@
-//! The tree along which a data centre's relay passes configuration on.
+//! The tree along which the relay of a data centre distributes configuration.
 
 use sk_model::ProxyId;
 
@@ -7,12 +7,12 @@
     digest::{name_hash, pair_hash},
 };
 
-/// The members of one data centre as a tree with a given root, the same on every daemon.
+/// The members of one data centre as a tree with a given root, which is the same on every daemon.
 ///
-/// Made for pushes to a data centre of about 87 daemons: a relay that sends to all of them itself
-/// uses its control budget at once and is a single place where a push ends. In a tree each daemon
-/// sends to at most `fan_out` others. The order behind the root is drawn by hash, so that two
-/// roots load different daemons.
+/// A relay that sent to all of the about 87 daemons of a data centre itself would use up its
+/// budget of control traffic at once and be a single point of failure of a push. In a tree each
+/// daemon sends to at most `fan_out` others. The order after the root is drawn by hash, so that
+/// two roots load different daemons.
 #[derive(Clone, Debug)]
 pub struct PushTree {
     members: Vec<ProxyId>,
@@ -20,7 +20,7 @@
 }
 
 impl PushTree {
-    /// Makes the tree of the present members of a data centre. A fan-out of 0 counts as 1.
+    /// Creates the tree of the present members of a data centre. A fan-out of 0 counts as 1.
     pub fn new(view: &MemberView, data_centre: &str, root: &str, fan_out: usize) -> Self {
         let is_member = |proxy: &&ProxyId| {
             let record = &view[*proxy];
@@ -32,25 +32,27 @@
         Self { members, fan_out: fan_out.max(1) }
     }
 
-    /// Lists the children of a daemon; none for a leaf or a daemon outside the tree.
+    /// Returns the children of a daemon, which are none for a leaf or for a daemon outside the
+    /// tree.
     pub fn children(&self, proxy: &str) -> Vec<ProxyId> {
-        let Some(place) = self.members.iter().position(|member| member == proxy) else {
+        let Some(position) = self.members.iter().position(|member| member == proxy) else {
             return Vec::new();
         };
-        let first = (place * self.fan_out + 1).min(self.members.len());
+        let first = (position * self.fan_out + 1).min(self.members.len());
         let last = (first + self.fan_out).min(self.members.len());
         self.members[first..last].to_vec()
     }
 
-    /// Lists whom to send to in place of a child that failed: the failed child's own children.
+    /// Returns the daemons to send to in place of a child that failed, which are the children of
+    /// that child.
     ///
-    /// Without this, a child that dies in mid-push leaves its whole subtree to the slower repair.
-    pub fn adopted(&self, failed: &str) -> Vec<ProxyId> {
+    /// Otherwise a child that fails during a push leaves its whole subtree to the slower repair.
+    pub fn replacement_targets(&self, failed: &str) -> Vec<ProxyId> {
         self.children(failed)
     }
 }
 
-/// Lists the children of `own` in the tree of its data centre under `root`.
+/// Returns the children of `own` in the tree of its data centre with the root `root`.
 pub fn push_targets(view: &MemberView, own: &str, root: &str, fan_out: usize) -> Vec<ProxyId> {
     let data_centre = view.get(own).map(|record| record.data_centre.as_str());
     data_centre.map_or_else(Vec::new, |data_centre| {
--- a/components/member/tests/liveness_monitor.rs
+++ b/components/member/tests/liveness_monitor.rs
@@ -1,4 +1,4 @@
-//! What one monitor says, and when.
+//! The events of a single monitor and their timing.
 
 mod support;
 
@@ -14,8 +14,8 @@
     Duration::from_millis(millis)
 }
 
-/// A data centre of as many daemons, the first of which watches all others.
-fn watching(len: usize) -> (LivenessMonitor, MemberTable) {
+/// Creates a data centre of `len` daemons, the first of which monitors all others.
+fn monitor_of(len: usize) -> (LivenessMonitor, MemberTable) {
     let names: Vec<String> = (0..len).map(|index| format!("m{index}")).collect();
     let mut table = MemberTable::new(record("m0", 1, 1, MemberStatus::Alive));
     for name in &names[1..] {
@@ -30,7 +30,8 @@
     view_of(table.records().values().cloned())
 }
 
-/// Ticks through a time, in which all but `silent` are heard.
+/// Ticks through a range of times in ms, during which all daemons but `silent` are heard, and
+/// returns the events.
 fn run(
     monitor: &mut LivenessMonitor,
     table: &MemberTable,
@@ -48,7 +49,7 @@
     events
 }
 
-fn accusation(proxy: &str, observer: &str) -> MemberSuspicion {
+fn suspicion(proxy: &str, observer: &str) -> MemberSuspicion {
     MemberSuspicion {
         proxy: proxy.to_owned(),
         incarnation: 1,
@@ -63,34 +64,34 @@
     events.iter().any(|event| matches!(event, MonitorEvent::Gone { .. }))
 }
 
-fn words(events: &[MonitorEvent]) -> usize {
+fn suspicion_count(events: &[MonitorEvent]) -> usize {
     events.iter().filter(|event| matches!(event, MonitorEvent::Spread(_))).count()
 }
 
-// In a small fleet one observer may be all there is. It stops using the silent one, but its word
-// alone must not take the record from everyone.
+// In a small fleet there may be only one observer. It stops using the silent daemon, but its
+// suspicion alone must not remove the record from every daemon.
 #[test]
-fn too_few() {
+fn single_observer() {
     for len in [2, 3, 5] {
-        let (mut monitor, table) = watching(len);
+        let (mut monitor, table) = monitor_of(len);
         let events = run(&mut monitor, &table, "m1", 0..30_000);
         assert!(!is_gone(&events), "{len} daemons");
-        assert_eq!(words(&events), 1, "{len} daemons");
+        assert_eq!(suspicion_count(&events), 1, "{len} daemons");
         assert!(monitor.marks().contains_key("m1"), "{len} daemons");
     }
 }
 
 #[test]
 fn second_observer() {
-    let (mut monitor, table) = watching(5);
+    let (mut monitor, table) = monitor_of(5);
     run(&mut monitor, &table, "m1", 0..2_000);
-    assert!(monitor.note(accusation("m1", "m2"), millis(2_000)));
-    assert!(!monitor.note(accusation("m1", "m2"), millis(2_000)), "known");
+    assert!(monitor.note(suspicion("m1", "m2"), millis(2_000)));
+    assert!(!monitor.note(suspicion("m1", "m2"), millis(2_000)), "known");
     assert!(is_gone(&run(&mut monitor, &table, "m1", 2_000..2_200)));
 }
 
-// Observers in other data centres cannot tell a crash from a cut. However many they are, the
-// daemon is only marked.
+// Observers in other data centres cannot distinguish a crash from a network cut. However many they
+// are, the daemon is only marked.
 #[test]
 fn far_observers() {
     let view = view_of(fleet(90));
@@ -98,56 +99,57 @@
     let neighbours: Vec<String> = monitor.plan(&view).neighbours("proxy-000").cloned().collect();
     monitor.set_neighbours(neighbours, Duration::ZERO);
     for observer in view.keys().filter(|name| view[*name].data_centre != "dc1") {
-        let word = MemberSuspicion { incarnation: 1_000, ..accusation("proxy-010", observer) };
-        monitor.note(word, Duration::ZERO);
+        let far_suspicion =
+            MemberSuspicion { incarnation: 1_000, ..suspicion("proxy-010", observer) };
+        monitor.note(far_suspicion, Duration::ZERO);
     }
     assert!(!is_gone(&monitor.tick(&view, millis(100))));
     assert_eq!(monitor.marks().get("proxy-010"), Some(&LocalMark::Suspect));
 }
 
-// The kernel resets the connections of a process that ended. Waiting for silence would send a
-// second's worth of requests to it.
+// The kernel resets the connections of a process that ended. Waiting for silence would send
+// requests to it for another second.
 #[test]
 fn reset_is_faster() {
-    let (mut monitor, table) = watching(5);
+    let (mut monitor, table) = monitor_of(5);
     run(&mut monitor, &table, "m1", 0..1_000);
     monitor.heard("m1", millis(950));
     monitor.lost("m1", millis(1_000));
-    assert_eq!(words(&run(&mut monitor, &table, "m1", 1_000..1_300)), 0);
-    assert_eq!(words(&run(&mut monitor, &table, "m1", 1_300..1_400)), 1);
+    assert_eq!(suspicion_count(&run(&mut monitor, &table, "m1", 1_000..1_300)), 0);
+    assert_eq!(suspicion_count(&run(&mut monitor, &table, "m1", 1_300..1_400)), 1);
     monitor.heard("m1", millis(1_400));
     let events = monitor.tick(&view(&table), millis(1_400));
-    assert!(matches!(&events[..], [MonitorEvent::Spread(word), ..] if word.is_withdrawn));
+    assert!(matches!(&events[..], [MonitorEvent::Spread(suspicion), ..] if suspicion.is_withdrawn));
     assert!(monitor.marks().is_empty());
 }
 
-// A link carries nothing in one direction, for an hour. The daemon behind it answers each
-// accusation, and each answer travels to the whole fleet.
+// A link is broken in one direction for an hour. The daemon behind it refutes each suspicion, and
+// each refutation is sent to the whole fleet.
 #[test]
-fn rare_accusations() {
-    let (mut monitor, mut table) = watching(5);
-    let mut accusations = 0;
+fn rare_suspicions() {
+    let (mut monitor, mut table) = monitor_of(5);
+    let mut refutations = 0;
     for start in (0..3_600_000).step_by(1_000) {
         let events = run(&mut monitor, &table, "m1", start..start + 1_000);
         assert!(!is_gone(&events));
-        if words(&events) > 0 {
-            accusations += 1;
+        if suspicion_count(&events) > 0 {
+            refutations += 1;
             let sequence = table.records()["m1"].sequence + 1;
             table.merge(record("m1", 1, sequence, MemberStatus::Alive));
         }
     }
-    assert!((50..80).contains(&accusations), "{accusations} in an hour");
+    assert!((50..80).contains(&refutations), "{refutations} in an hour");
 }
 
-// The whole process stands still for 10 s; afterwards no neighbour was heard for as long.
+// The whole process is paused for 10 s; afterwards no neighbour was heard for that time.
 #[test]
 fn own_pause() {
-    let (mut monitor, table) = watching(5);
+    let (mut monitor, table) = monitor_of(5);
     run(&mut monitor, &table, "", 0..1_000);
-    monitor.note(accusation("m1", "m2"), millis(900));
-    monitor.note(accusation("m1", "m3"), millis(900));
+    monitor.note(suspicion("m1", "m2"), millis(900));
+    monitor.note(suspicion("m1", "m3"), millis(900));
     let events = monitor.tick(&view(&table), millis(11_000));
     assert_eq!(events, [MonitorEvent::Paused(millis(10_100))]);
     let events = run(&mut monitor, &table, "", 11_100..12_400);
-    assert!(!is_gone(&events) && words(&events) == 0, "{events:?}");
+    assert!(!is_gone(&events) && suspicion_count(&events) == 0, "{events:?}");
 }
--- a/components/member/tests/overlay_links.rs
+++ b/components/member/tests/overlay_links.rs
@@ -1,4 +1,4 @@
-//! The links between daemons.
+//! The links of the overlay and its connectivity under faults.
 
 mod support;
 
@@ -11,7 +11,7 @@
 use sk_member::{MemberRecord, OverlayPlan, choose_links};
 use support::{fleet, view_of};
 
-/// Gives how many daemons are reached and in how many steps, without those that are down.
+/// Returns how many daemons a flood reaches and in how many steps, without the daemons in `down`.
 fn flood(plan: &OverlayPlan, from: &str, down: &BTreeSet<String>) -> (usize, usize) {
     let mut reached = BTreeSet::from([from.to_owned()]);
     let mut waiting = VecDeque::from([(from.to_owned(), 0)]);
@@ -57,8 +57,8 @@
     assert!(diameter <= Some(8), "diameter {diameter:?}");
 }
 
-// A data centre loses its power, or is cut off. If its daemons were the only way between the
-// others, drains and crashes would stay unknown on the far side.
+// A data centre loses power or is cut off. If its daemons were the only path between the others,
+// drains and crashes would stay unknown on the other side.
 #[test]
 fn centre_lost() {
     for len in [27, 90, 780] {
@@ -75,8 +75,8 @@
     }
 }
 
-// One in ten daemons dies at the same moment, before the others have chosen new links. A daemon
-// left without a way to the rest would serve on what it last heard.
+// One in 10 daemons fails at the same moment, before the others have chosen new links. A daemon
+// without a path to the others would use outdated records.
 #[test]
 fn tenth_lost() {
     let records = fleet(780);
@@ -90,8 +90,8 @@
     }
 }
 
-// A whole region's links to the others hang on the instances that hold them. Were they the same
-// ones, two failures would look like a cut region.
+// The links of a whole region to the others end on few instances. If these were the same for all
+// links, two failures would look like a network cut of the region.
 #[test]
 fn disjoint_bridges() {
     let view = view_of(fleet(780));
--- a/components/member/tests/look_order.rs
+++ b/components/member/tests/poll_order.rs
@@ -1,4 +1,4 @@
-//! Whose turn it is to look at the configuration source.
+//! The order in which daemons poll the configuration source.
 
 use std::time::Duration;
 
@@ -11,18 +11,18 @@
 };
 
 fn order() -> Vec<String> {
-    (0..5).map(|place| format!("lj1-{place:02}")).collect()
+    (0..5).map(|position| format!("lj1-{position:02}")).collect()
 }
 
-fn book(place: usize) -> FreshnessBook {
+fn book(position: usize) -> FreshnessBook {
     let order = order();
-    let mut book = FreshnessBook::new(&order[place], OPTIONS);
+    let mut book = FreshnessBook::new(&order[position], OPTIONS);
     book.set_order(&order);
     book
 }
 
-fn seen_by(place: usize, seen_ms: u64) -> FreshnessProof {
-    let looker = book(place).own();
+fn seen_by(position: usize, seen_ms: u64) -> FreshnessProof {
+    let looker = book(position).own();
     FreshnessProof { looker, seen_at: at(seen_ms), history: 0 }
 }
 
@@ -30,38 +30,38 @@
     Duration::from_millis(millis)
 }
 
-/// On a calm day one daemon of a data centre asks the source; the others must not, or the source's
-/// load would grow with the fleet.
+/// Without faults one daemon of a data centre polls the source. If the others polled too, the load
+/// on the source would grow with the fleet.
 #[test]
-fn calm_day() {
+fn only_relay_polls() {
     assert_eq!(book(0).due_in(at(500)), Some(Duration::ZERO));
-    for place in 1..5 {
-        let mut book = book(place);
+    for position in 1..5 {
+        let mut book = book(position);
         for now in (0..20_000).step_by(400) {
             book.offer(seen_by(0, now), at(now + 300));
-            assert!(book.due_in(at(now + 690)).expect("a place") > Duration::ZERO, "{place}");
+            assert!(book.due_in(at(now + 690)).expect("a position") > Duration::ZERO, "{position}");
         }
     }
 }
 
-/// The first daemon stops seeing the source, for whatever reason; it is still alive to its peers. The
-/// others take their turns one after the other, so that a few are asked and the wait stays short.
+/// The first daemon cannot read the source any more, while its peers still hear it. The others
+/// take over one after another, so that few of them poll and the delay stays short.
 #[test]
-fn turns_in_order() {
+fn takeover_in_order() {
     let dues: Vec<_> = (1..5)
-        .map(|place| {
-            let mut book = book(place);
+        .map(|position| {
+            let mut book = book(position);
             book.offer(seen_by(0, 1_000), at(1_200));
-            book.due_in(at(2_000)).expect("a place")
+            book.due_in(at(2_000)).expect("a position")
         })
         .collect();
     assert_eq!(dues, [at(400), at(500), at(600), at(700)]);
 }
 
-/// The second daemon has taken over. Those behind it rest while its word comes, and it goes on until
-/// the first one sees the source again.
+/// The second daemon has taken over. Later ones wait while its proofs arrive, and it polls until
+/// the first one reads the source again.
 #[test]
-fn taken_over() {
+fn later_daemons_wait() {
     let (mut second, mut third) = (book(1), book(2));
     for book in [&mut second, &mut third] {
         book.offer(seen_by(0, 1_000), at(1_000));
@@ -73,24 +73,24 @@
     assert_eq!(second.due_in(at(2_800)), Some(at(1_300)));
 }
 
-/// Word of a daemon later in the order must not hide that of an earlier one: the one that took over
-/// would never hear that the first is back, and both would ask for good.
+/// A proof of a daemon later in the order must not replace that of an earlier one: the daemon that
+/// took over would never learn that the first one polls again, and both would poll for good.
 #[test]
-fn earlier_word_kept() {
+fn earlier_poller_preferred() {
     let mut book = book(3);
     book.offer(seen_by(0, 2_000), at(2_100));
     book.offer(seen_by(1, 2_400), at(2_500));
     assert_eq!(book.held(), Some(seen_by(0, 2_000)));
-    // Once it is stale, what is fresh counts.
+    // Once the kept proof is stale, any fresh one replaces it.
     book.offer(seen_by(1, 3_300), at(3_450));
     assert_eq!(book.held(), Some(seen_by(1, 3_300)));
     assert!(!book.is_stale(at(3_500)));
     assert!(book.is_stale(at(4_700)));
 }
 
-/// A daemon was paused, and heartbeats of that time wait to be read. Their ages say nothing of how
-/// long they waited, so it begins anew; it must not ask the source at once either, as a whole data
-/// centre may have been paused together.
+/// A daemon was paused, and heartbeats from that time wait to be read. Their ages do not include
+/// the time they waited, so the daemon starts over. It must not poll at once either, because a
+/// whole data centre may have been paused together.
 #[test]
 fn after_pause() {
     let mut book = book(1);
@@ -100,7 +100,7 @@
     assert_eq!(book.due_in(at(9_000)), Some(at(1_400)));
 }
 
-/// A daemon that leaves has no place any more, and the next one's turn comes at once.
+/// A daemon that leaves is not in the order any more, and the next one polls at once.
 #[test]
 fn relay_leaves() {
     let (mut first, mut second) = (book(0), book(1));
--- a/components/member/tests/push_tree.rs
+++ b/components/member/tests/push_tree.rs
@@ -1,4 +1,4 @@
-//! The tree along which a data centre's relay passes configuration on.
+//! The tree along which the relay of a data centre distributes configuration.
 
 mod support;
 
@@ -7,7 +7,8 @@
 use sk_member::{MemberView, PushTree, push_targets};
 use support::{fleet, view_of};
 
-/// Pushes from the root; a daemon that gets no answer from a child sends to its children.
+/// Simulates a push from the root; a daemon whose child does not answer sends to the children of
+/// that child. Returns the daemons reached and the number of steps.
 fn push(view: &MemberView, root: &str, down: &BTreeSet<String>) -> (BTreeSet<String>, usize) {
     let tree = PushTree::new(view, &view[root].data_centre, root, 4);
     let mut reached = BTreeSet::from([root.to_owned()]);
@@ -19,7 +20,7 @@
         let mut next = Vec::new();
         while let Some(target) = targets.pop() {
             match down.contains(&target) {
-                true => targets.extend(tree.adopted(&target)),
+                true => targets.extend(tree.replacement_targets(&target)),
                 false => assert!(reached.insert(target.clone()), "{target} twice"),
             }
             next.extend(Some(target).filter(|target| !down.contains(target)));
@@ -41,9 +42,9 @@
     assert_eq!(push_targets(&view, "nobody", "proxy-004", 4), Vec::<String>::new());
 }
 
-// Daemons die in mid-push. Those behind them in the tree would wait for the slower repair.
+// Daemons fail during a push. Those behind them in the tree would wait for the slower repair.
 #[test]
-fn children_adopted() {
+fn failed_children_replaced() {
     let view = view_of(fleet(780));
     let tree = PushTree::new(&view, "dc4", "proxy-004", 4);
     let mut down: BTreeSet<String> = tree.children("proxy-004").into_iter().take(2).collect();
--- a/components/member/tests/record_digest.rs
+++ b/components/member/tests/record_digest.rs
@@ -1,4 +1,4 @@
-//! Finding out where two daemons' records differ, and how long the past is kept.
+//! Comparison of the records of two daemons, and the retention of tombstones.
 
 mod support;
 
@@ -11,7 +11,7 @@
     table.records_in(&Vec::from_iter(0..DIGEST_BUCKETS))
 }
 
-fn table_of(own: &str, len: usize) -> MemberTable {
+fn own_table_with(own: &str, len: usize) -> MemberTable {
     let mut table = MemberTable::new(record(own, 1, 0, MemberStatus::Alive));
     fleet(len).into_iter().for_each(|record| _ = table.merge(record));
     table
@@ -19,7 +19,7 @@
 
 #[test]
 fn differing_buckets() {
-    let mut first = table_of("own", 780);
+    let mut first = own_table_with("own", 780);
     let mut second = first.clone();
     let changed = record("proxy-100", 2_000, 1, MemberStatus::Alive);
     second.merge(changed.clone());
@@ -34,8 +34,8 @@
 }
 
 #[test]
-fn kept_up() {
-    let mut table = table_of("own", 50);
+fn all_records_shared() {
+    let mut table = own_table_with("own", 50);
     table.merge(record("proxy-001", 1_000, 7, MemberStatus::Leaving));
     table.declare_gone("proxy-002", 1_000, 1);
     table.set_status(MemberStatus::Leaving);
@@ -45,31 +45,31 @@
 }
 
 // A daemon is gone, and an old copy of its record arrives late, from a peer that was cut off. The
-// tombstone keeps it out. One that is about to be dropped is no longer handed on, or those who
-// dropped it would take it up again from those who did not.
+// tombstone keeps it out. A tombstone that will soon be removed is no longer sent, or daemons that
+// removed it would add it again from those that did not.
 #[test]
 fn tombstone_kept() {
     let minutes = |minutes: u64| Duration::from_secs(minutes * 60);
-    let mut table = table_of("own", 50);
+    let mut table = own_table_with("own", 50);
     let late = table.records()["proxy-002"].clone();
     table.declare_gone("proxy-002", 1_000, 1);
     table.expire(minutes(0));
     assert_eq!(table.expire(minutes(11)), 0);
     assert!(shared(&table).iter().all(|record| record.proxy != "proxy-002"));
-    let hidden = table.digest().clone();
+    let digest = table.digest().clone();
     table.merge(late.clone());
     assert_eq!(table.records()["proxy-002"].status, MemberStatus::Gone);
-    assert_eq!(table.digest(), &hidden);
+    assert_eq!(table.digest(), &digest);
     assert_eq!(table.expire(minutes(61)), 1);
     assert!(!table.records().contains_key("proxy-002"));
-    assert_eq!(table.digest(), &hidden, "dropping a hidden record changes nothing");
+    assert_eq!(table.digest(), &digest, "removing a withheld record leaves the digest unchanged");
 }
 
-// Instances are replaced under new names day after day. Without a bound, their tombstones fill
-// the memory of daemons that have little.
+// Instances are replaced under new names every day. Without a bound, their tombstones would fill
+// the memory.
 #[test]
 fn tombstones_bounded() {
-    let mut table = table_of("own", 0);
+    let mut table = own_table_with("own", 0);
     for index in 0..3_000 {
         table.merge(record(&format!("old-{index}"), 1, 0, MemberStatus::Gone));
         table.expire(Duration::from_secs(index));
@@ -77,12 +77,12 @@
     assert!(table.records().len() <= 1_025, "{} records", table.records().len());
 }
 
-// A process was paused, and its backend server may be gone. Only the server's own word brings it
-// back, also when the process still lists it from memory.
+// A process was paused, and its backend server may have ended. Only a heartbeat of the server
+// restores it, also if the process still lists it from memory.
 #[test]
 fn endpoints_withdrawn() {
     let listed = vec![support::endpoint("server-1")];
-    let mut table = table_of("own", 0);
+    let mut table = own_table_with("own", 0);
     assert!(table.set_endpoints(listed.clone()));
     let sequence = table.own().sequence;
     assert!(table.withdraw_endpoints());
--- a/components/member/tests/record_merge.rs
+++ b/components/member/tests/record_merge.rs
@@ -1,4 +1,4 @@
-//! Merging records about daemons.
+//! Merging of records about daemons.
 
 mod support;
 
@@ -27,7 +27,7 @@
     )
 }
 
-/// Gives records, and the same ones in another order with some of them twice.
+/// Returns records, and the same records in another order with some of them twice.
 fn two_orders() -> impl Strategy<Value = (Vec<MemberRecord>, Vec<MemberRecord>)> {
     prop::collection::vec(any_record(), 1..30).prop_flat_map(|records| {
         let doubled = [records.clone(), records[..records.len() / 2].to_vec()].concat();
@@ -43,8 +43,8 @@
     table
 }
 
-/// Believes whatever came last.
-fn last_written(records: &[MemberRecord]) -> BTreeMap<String, Arc<MemberRecord>> {
+/// Keeps the record that arrived last, as a naive implementation does.
+fn keep_last_arrived(records: &[MemberRecord]) -> BTreeMap<String, Arc<MemberRecord>> {
     let named = records.iter().map(|record| (record.proxy.clone(), Arc::new(record.clone())));
     named.collect()
 }
@@ -52,8 +52,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(5), ..Default::default() })]
 
-    // Records arrive by several ways, in any order and more than once. If the order mattered, two
-    // daemons that know the same would send work to different servers.
+    // Records arrive over several paths, in any order and more than once. If the order mattered,
+    // two daemons with the same records would send work to different servers.
     #[test]
     fn any_order((first, second) in two_orders()) {
         let (first, second) = (merged(&first), merged(&second));
@@ -61,7 +61,7 @@
         prop_assert_eq!(first.digest(), second.digest());
     }
 
-    // Two daemons compare what they know and merge it. Grouping must not matter either.
+    // Two daemons compare and merge their records. Grouping must not matter either.
     #[test]
     fn any_grouping((first, second) in two_orders()) {
         let mut table = merged(&first);
@@ -82,8 +82,8 @@
             prop_assert!(rank(&table) >= before);
             prop_assert!(rank(&table) >= Some(record.rank()));
             prop_assert!(table.merge(record.clone()) != MergeOutcome::Newer, "twice");
-            let is_held = *table.records()[&record.proxy] == record;
-            prop_assert!(is_held || outcome != MergeOutcome::Newer);
+            let is_kept = *table.records()[&record.proxy] == record;
+            prop_assert!(is_kept || outcome != MergeOutcome::Newer);
         }
     }
 }
@@ -93,7 +93,7 @@
     let old = record("a", 1, 0, MemberStatus::Alive);
     let new = record("a", 1, 1, MemberStatus::Leaving);
     let orders = [[old.clone(), new.clone()], [new, old]];
-    assert_ne!(last_written(&orders[0]), last_written(&orders[1]));
+    assert_ne!(keep_last_arrived(&orders[0]), keep_last_arrived(&orders[1]));
     assert_eq!(merged(&orders[0]).records(), merged(&orders[1]).records());
 }
 
@@ -106,8 +106,8 @@
     assert_eq!(table.merge(record("b", 6, 0, MemberStatus::Alive)), MergeOutcome::Newer);
 }
 
-// A daemon is paused for longer than the others wait for it, and wakes. Until it contradicts
-// them, its callers see refusals although it runs.
+// A daemon is paused for longer than the others wait for it. Until it refutes its removal, its
+// callers are refused although it runs.
 #[test]
 fn gone_refuted() {
     let mut table = MemberTable::new(record("a", 1, 0, MemberStatus::Alive));
@@ -116,8 +116,8 @@
     assert_eq!(table.own().status, MemberStatus::Alive);
 }
 
-// An instance restarts and its clock is behind where it was. The others know a later start of it
-// and ignore all it says, until it learns that and takes a later start itself.
+// An instance restarts with its clock set back. The others know a later incarnation and ignore its
+// records, until it learns that and raises its own incarnation.
 #[test]
 fn clock_back() {
     let mut table = MemberTable::new(record("a", 5_000, 1, MemberStatus::Alive));
@@ -127,31 +127,31 @@
     let mut other = own_table();
     other.merge(before.clone());
     assert_eq!(other.merge(table.own().clone()), MergeOutcome::Newer);
-    // Late copies of the old process's record change nothing any more.
+    // Late copies of the record of the old process have no effect any more.
     assert_eq!(table.merge(before.clone()), MergeOutcome::Known);
     assert_eq!(other.merge(before), MergeOutcome::Older);
 }
 
-// Two instances were given one name. Each would answer the other for ever, and every answer goes
-// to the whole fleet.
+// Two instances have the same name. Each would outrank the other without end, and every new record
+// is sent to the whole fleet.
 #[test]
 fn name_clash() {
     let mut first = MemberTable::new(record("a", 1_000, 1, MemberStatus::Alive));
     let mut second = MemberTable::new(record("a", 2_000, 1, MemberStatus::Alive));
-    let mut answers = 0;
+    let mut refutations = 0;
     for _ in 0..100 {
-        answers += usize::from(first.merge(second.own().clone()) == MergeOutcome::Refuted);
-        answers += usize::from(second.merge(first.own().clone()) == MergeOutcome::Refuted);
+        refutations += usize::from(first.merge(second.own().clone()) == MergeOutcome::Refuted);
+        refutations += usize::from(second.merge(first.own().clone()) == MergeOutcome::Refuted);
     }
-    assert!(answers <= 16, "{answers} answers");
+    assert!(refutations <= 16, "{refutations} refutations");
     assert_eq!(first.merge(second.own().clone()), MergeOutcome::Clash);
 }
 
-// An observer's word reaches the daemon it is about, which runs.
+// A suspicion reaches the daemon that it is about, which runs.
 #[test]
-fn word_refuted() {
+fn suspicion_refuted() {
     let mut table = MemberTable::new(record("a", 1, 4, MemberStatus::Alive));
-    let word = |sequence, is_withdrawn| MemberSuspicion {
+    let suspicion = |sequence, is_withdrawn| MemberSuspicion {
         proxy: "a".to_owned(),
         incarnation: 1,
         sequence,
@@ -159,11 +159,11 @@
         round: 1,
         is_withdrawn,
     };
-    assert!(!table.refute(&word(4, true)));
-    assert!(!table.refute(&word(3, false)), "answered before");
-    assert!(table.refute(&word(4, false)));
+    assert!(!table.refute(&suspicion(4, true)));
+    assert!(!table.refute(&suspicion(3, false)), "refuted before");
+    assert!(table.refute(&suspicion(4, false)));
     assert_eq!(table.own().sequence, 5);
-    assert!(!table.refute(&MemberSuspicion { proxy: "c".to_owned(), ..word(9, false) }));
+    assert!(!table.refute(&MemberSuspicion { proxy: "c".to_owned(), ..suspicion(9, false) }));
 }
 
 #[test]
--- a/components/member/tests/rumor_queue.rs
+++ b/components/member/tests/rumor_queue.rs
@@ -1,4 +1,4 @@
-//! News on their way to the neighbours.
+//! The queues of rumors to the neighbours.
 
 mod support;
 
@@ -16,7 +16,7 @@
     queue
 }
 
-fn news(proxy: &str, sequence: u64) -> MemberRumor {
+fn record_rumor(proxy: &str, sequence: u64) -> MemberRumor {
     MemberRumor::Record(Arc::new(record(proxy, 1, sequence, MemberStatus::Alive)))
 }
 
@@ -24,37 +24,41 @@
 fn sent_once() {
     let (b, c) = ("b".to_owned(), "c".to_owned());
     let mut queue = queue();
-    queue.push(&news("x", 1), Some(&b));
-    queue.push(&news("y", 1), None);
-    queue.push(&news("x", 2), Some(&b));
-    assert_eq!(queue.take(&b, 10), [news("y", 1)]);
-    assert_eq!(queue.take(&c, 1), [news("x", 2)], "the newest, in the oldest's place");
-    assert_eq!(queue.take(&c, 10), [news("y", 1)]);
+    queue.push(&record_rumor("x", 1), Some(&b));
+    queue.push(&record_rumor("y", 1), None);
+    queue.push(&record_rumor("x", 2), Some(&b));
+    assert_eq!(queue.take(&b, 10), [record_rumor("y", 1)]);
+    assert_eq!(
+        queue.take(&c, 1),
+        [record_rumor("x", 2)],
+        "the newest rumor at the position of the oldest"
+    );
+    assert_eq!(queue.take(&c, 10), [record_rumor("y", 1)]);
     assert_eq!(queue.pending(&c), 0);
 }
 
 #[test]
-fn known_dropped() {
+fn known_rumor_removed() {
     let (b, c) = ("b".to_owned(), "c".to_owned());
     let mut queue = queue();
-    queue.push(&news("x", 1), None);
-    queue.push(&news("x", 2), Some(&c));
-    assert_eq!(queue.pending(&c), 0, "the sender of newer news needs no older ones");
-    assert_eq!(queue.take(&b, 10), [news("x", 2)]);
+    queue.push(&record_rumor("x", 1), None);
+    queue.push(&record_rumor("x", 2), Some(&c));
+    assert_eq!(queue.pending(&c), 0, "the sender of a newer rumor needs no older one");
+    assert_eq!(queue.take(&b, 10), [record_rumor("x", 2)]);
 }
 
-// A link stalls while the fleet restarts. Its news would grow without end; it gets a comparison of
-// digests in their place.
+// A link stalls while the fleet restarts. Its queue would grow without bound; a comparison of
+// digests replaces the queued records.
 #[test]
 fn queue_bounded() {
     let b = "b".to_owned();
     let mut queue = queue();
     for index in 0..10_000 {
-        queue.push(&news(&format!("proxy-{index}"), 1), None);
+        queue.push(&record_rumor(&format!("proxy-{index}"), 1), None);
         assert!(queue.pending(&b) <= 2_048);
     }
     assert!(queue.take_repair(&b));
-    assert!(!queue.take_repair(&b), "asked for once");
+    assert!(!queue.take_repair(&b), "requested once");
     queue.mark_failed(&b);
     assert!(queue.take_repair(&b));
 }
--- a/components/member/tests/server_heartbeats.rs
+++ b/components/member/tests/server_heartbeats.rs
@@ -1,4 +1,4 @@
-//! Which heartbeats of a backend server are believed.
+//! Filtering of outdated heartbeats from backend servers.
 
 use std::time::Duration;
 
@@ -25,35 +25,36 @@
     Duration::from_secs(seconds)
 }
 
-/// Heartbeats overtake each other on their way. The older one must not bring back what the newer
-/// one ended.
+/// Heartbeats arrive out of order. An older one must not undo what a newer one reported.
 #[test]
-fn order_holds() {
+fn outdated_ignored() {
     let mut book = HeartbeatBook::default();
     assert_eq!(book.judge(&ready("a", 5, 2), at(1)), HeartbeatVerdict::News);
     assert_eq!(book.judge(&ready("a", 5, 2), at(1)), HeartbeatVerdict::Stale);
     assert_eq!(book.judge(&ready("a", 5, 1), at(1)), HeartbeatVerdict::Stale);
     assert_eq!(book.judge(&ready("a", 4, 9), at(1)), HeartbeatVerdict::Stale);
-    // A drain that was told late is still a drain.
+    // A drain takes effect even if its heartbeat arrives late.
     let drain = beat("a", 5, 1, EndpointStatus::Draining);
     assert_eq!(book.judge(&drain, at(1)), HeartbeatVerdict::News);
     assert_eq!(book.judge(&ready("a", 5, 3), at(2)), HeartbeatVerdict::News);
 }
 
-/// A process that was thought dead is heard once more after another one took its address. Callers
-/// would be sent to an address at which another process answers.
+/// A process that was presumed dead sends one more heartbeat after another one took over its
+/// address. Callers would be sent to an address at which another process answers.
 #[test]
-fn displaced_process() {
+fn replaced_process() {
     let mut book = HeartbeatBook::default();
     book.judge(&ready("new", 50, 1), at(10));
     assert_eq!(book.judge(&ready("old", 40, 7), at(11)), HeartbeatVerdict::Stale);
-    // A clock that was set back must not keep a server out once its predecessor is silent.
+    // A clock that was set back must not keep a server out of service once its predecessor is
+    // silent.
     assert_eq!(book.judge(&ready("later", 45, 1), at(20)), HeartbeatVerdict::News);
 }
 
-/// A server says good-bye to a daemon that has just started, and one of its heartbeats comes after.
+/// A server reports its leave to a daemon that has just started, and one of its heartbeats arrives
+/// after that.
 #[test]
-fn goodbye_first() {
+fn leave_before_heartbeat() {
     let mut book = HeartbeatBook::default();
     assert_eq!(book.leave("a", 1_000, at(1)), None);
     assert_eq!(book.judge(&ready("a", 900, 4), at(2)), HeartbeatVerdict::Stale);
--- a/components/member/tests/support/mod.rs
+++ b/components/member/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Fleets of records, and a loop that passes messages between tables.
+//! Records of simulated fleets, and a simulated network between daemons.
 #![allow(dead_code)]
 
 pub mod naive;
@@ -33,7 +33,7 @@
     }
 }
 
-/// Makes a fleet spread evenly over 9 data centres in 3 regions.
+/// Creates the records of a fleet spread evenly over 9 data centres in 3 regions.
 pub fn fleet(len: usize) -> Vec<Arc<MemberRecord>> {
     let member = |index: usize| {
         let centre = index % 9;
--- a/components/member/tests/support/naive.rs
+++ b/components/member/tests/support/naive.rs
@@ -1,4 +1,5 @@
-//! One daemon that removes whom it does not hear, and believes whatever came last.
+//! A naive daemon: it removes every daemon that it does not hear, and keeps the record that
+//! arrived last.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,7 +14,7 @@
     view_of,
 };
 
-const SUSPECT: Duration = Duration::from_millis(1_500);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 pub struct NaiveNode {
     own: Arc<MemberRecord>,
@@ -30,8 +31,8 @@
     }
 
     fn store(&mut self, from: &str, record: Arc<MemberRecord>) {
-        let held = self.records.insert(record.proxy.clone(), record.clone());
-        if held.as_ref() != Some(&record) {
+        let previous = self.records.insert(record.proxy.clone(), record.clone());
+        if previous.as_ref() != Some(&record) {
             self.flood(&FakeMessage::Record(record), Some(from));
         }
     }
@@ -50,9 +51,9 @@
         let records = BTreeMap::clone(&view_of(all.clone()));
         let view = view_of(all);
         let mut links: BTreeSet<String> = choose_links(&view, &own.proxy).into_iter().collect();
-        let is_towards =
+        let links_to_own =
             |proxy: &&String| choose_links(&view, proxy).iter().any(|link| *link == own.proxy);
-        links.extend(view.keys().filter(is_towards).cloned());
+        links.extend(view.keys().filter(links_to_own).cloned());
         let heard = links.iter().map(|link| (link.clone(), Duration::ZERO)).collect();
         Self { own, records, heard, links, sent: Vec::new() }
     }
@@ -67,12 +68,12 @@
         }
     }
 
-    fn lost(&mut self, from: &str, _: Duration) {
+    fn connection_reset(&mut self, from: &str, _: Duration) {
         self.remove(from, None);
     }
 
     fn tick(&mut self, now: Duration) {
-        let is_silent = |(_, heard): &(&String, &Duration)| now - **heard >= SUSPECT;
+        let is_silent = |(_, heard): &(&String, &Duration)| now - **heard >= SILENCE_TIMEOUT;
         let silent = self.heard.iter().filter(is_silent).map(|(proxy, _)| proxy.clone());
         for proxy in silent.collect::<Vec<_>>() {
             self.remove(&proxy, None);
@@ -84,7 +85,7 @@
             FakeMessage::Record(record) => self.store(from, record),
             FakeMessage::Removed(proxy) => self.remove(&proxy, Some(from)),
             FakeMessage::Records(records, ..) => {
-                // Not passed on: two copies would chase each other for ever.
+                // Not passed on, because two copies would replace each other without end.
                 let named = records.into_iter().map(|record| (record.proxy.clone(), record));
                 self.records.extend(named);
             }
--- a/components/member/tests/support/node.rs
+++ b/components/member/tests/support/node.rs
@@ -1,4 +1,4 @@
-//! One daemon that decides with this crate.
+//! A daemon that decides with this crate.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -9,11 +9,11 @@
 
 use super::network::{FakeBelief, FakeMessage, FakePolicy};
 
-const BATCH: usize = 64;
+const BATCH_SIZE: usize = 64;
 
 pub struct MemberNode {
     pub table: MemberTable,
-    pub accused: Vec<String>,
+    pub suspected: Vec<String>,
     monitor: LivenessMonitor,
     queue: RumorQueue,
     view: MemberView,
@@ -61,13 +61,13 @@
         }
     }
 
-    fn follow(&mut self, event: MonitorEvent, now: Duration) {
+    fn apply_event(&mut self, event: MonitorEvent, now: Duration) {
         match event {
-            MonitorEvent::Spread(word) => {
-                if !word.is_withdrawn {
-                    self.accused.push(word.proxy.clone());
+            MonitorEvent::Spread(suspicion) => {
+                if !suspicion.is_withdrawn {
+                    self.suspected.push(suspicion.proxy.clone());
                 }
-                self.queue.push(&MemberRumor::Suspicion(word), None);
+                self.queue.push(&MemberRumor::Suspicion(suspicion), None);
             }
             MonitorEvent::Gone { proxy, incarnation, sequence } => {
                 if self.table.declare_gone(&proxy, incarnation, sequence) {
@@ -96,7 +96,7 @@
             view: MemberView::default(),
             neighbours: BTreeSet::new(),
             replies: Vec::new(),
-            accused: Vec::new(),
+            suspected: Vec::new(),
             table,
         };
         node.publish(Duration::ZERO);
@@ -111,13 +111,13 @@
         self.monitor.heard(from, now);
     }
 
-    fn lost(&mut self, from: &str, now: Duration) {
+    fn connection_reset(&mut self, from: &str, now: Duration) {
         self.monitor.lost(from, now);
     }
 
     fn tick(&mut self, now: Duration) {
         for event in self.monitor.tick(&self.view.clone(), now) {
-            self.follow(event, now);
+            self.apply_event(event, now);
         }
     }
 
@@ -125,11 +125,13 @@
         let own = self.table.own().proxy.clone();
         match message {
             FakeMessage::Record(record) => self.merge(from, vec![record], now),
-            FakeMessage::Suspicion(word) if self.table.refute(&word) => self.spread_own(now),
-            FakeMessage::Suspicion(word)
-                if word.proxy != own && self.monitor.note(word.clone(), now) =>
+            FakeMessage::Suspicion(suspicion) if self.table.refute(&suspicion) => {
+                self.spread_own(now)
+            }
+            FakeMessage::Suspicion(suspicion)
+                if suspicion.proxy != own && self.monitor.note(suspicion.clone(), now) =>
             {
-                self.queue.push(&MemberRumor::Suspicion(word), Some(&from.to_owned()));
+                self.queue.push(&MemberRumor::Suspicion(suspicion), Some(&from.to_owned()));
             }
             FakeMessage::Digest(digest) => {
                 let buckets = self.table.digest().differing(&digest);
@@ -137,9 +139,9 @@
                 let reply = FakeMessage::Records(records, buckets, true);
                 self.replies.push((from.to_owned(), reply));
             }
-            FakeMessage::Records(records, buckets, is_asked) => {
+            FakeMessage::Records(records, buckets, is_reply_wanted) => {
                 self.merge(from, records, now);
-                if is_asked && !buckets.is_empty() {
+                if is_reply_wanted && !buckets.is_empty() {
                     let records = self.table.records_in(&buckets);
                     let reply = FakeMessage::Records(records, buckets, false);
                     self.replies.push((from.to_owned(), reply));
@@ -155,10 +157,10 @@
             if self.queue.take_repair(link) {
                 sent.push((link.clone(), FakeMessage::Digest(self.table.digest().clone())));
             }
-            sent.extend(self.queue.take(link, BATCH).into_iter().map(|rumor| {
+            sent.extend(self.queue.take(link, BATCH_SIZE).into_iter().map(|rumor| {
                 let message = match rumor {
                     MemberRumor::Record(record) => FakeMessage::Record(record),
-                    MemberRumor::Suspicion(word) => FakeMessage::Suspicion(word),
+                    MemberRumor::Suspicion(suspicion) => FakeMessage::Suspicion(suspicion),
                 };
                 (link.clone(), message)
             }));
