--- a/components/ledger/src/check.rs
+++ b/components/ledger/src/check.rs
@@ -1,4 +1,4 @@
-//! Bounds of a request, checked before anything else is done with it.
+//! Bounds of a request, which are checked before it is processed.
 
 use sk_model::{
     ChangeRecord, ChangeRequest, ContentHash, SettingBody, SettingPath, UnixMillis, Version,
@@ -7,22 +7,23 @@
 
 use crate::MalformedChange;
 
-/// Longest change id, in bytes. A UUID or a commit hash fits; it becomes part of a key.
+/// Longest change id in bytes. A UUID or a commit hash fits; the id becomes part of a key.
 pub const MAX_CHANGE_ID_BYTES: usize = 64;
-/// Longest author and longest revision, in bytes. An address and a commit hash with a branch name
-/// fit; every record in the head repeats both.
+/// Longest author and longest revision in bytes. An address, or a commit hash with a branch name,
+/// fits; every record in the head contains both.
 pub const MAX_LABEL_BYTES: usize = 200;
-/// Most writes of one change. A whole team's declarations fit; larger ones come in two changes.
+/// Largest number of writes in one change. All declarations of a team fit; larger changes have to
+/// be split.
 pub const MAX_WRITES: usize = 1000;
-/// Largest record, in bytes of JSON. Eight of them, a chunk of history, stay below half of a
-/// platform value, which is what the head can spare for records that no chunk holds yet.
+/// Largest record in bytes of JSON. 8 of them, one history chunk, stay below half of a platform
+/// value, which is the space that the head has for records not yet in a chunk.
 pub const MAX_RECORD_BYTES: usize = 48 * 1024;
 
-/// Checks what can be checked without the configuration.
+/// Checks everything that does not depend on the configuration.
 ///
 /// # Errors
 ///
-/// Returns the first fault found.
+/// Returns the first violation.
 pub(crate) fn check_request(request: &ChangeRequest) -> Result<(), MalformedChange> {
     check_change_id(&request.change_id)?;
     check_label("author", &request.author)?;
@@ -40,11 +41,18 @@
     }
 }
 
-/// Tells whether an id may be part of a key.
+/// Checks that an id may be part of a key.
+///
+/// # Errors
+///
+/// Returns [`MalformedChange::ChangeId`] otherwise.
 pub(crate) fn check_change_id(change_id: &str) -> Result<(), MalformedChange> {
-    let allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
-    let begins = change_id.bytes().next().is_some_and(|byte| byte.is_ascii_alphanumeric());
-    match begins && change_id.len() <= MAX_CHANGE_ID_BYTES && change_id.bytes().all(allowed) {
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
+    let has_valid_start = change_id.bytes().next().is_some_and(|byte| byte.is_ascii_alphanumeric());
+    match has_valid_start
+        && change_id.len() <= MAX_CHANGE_ID_BYTES
+        && change_id.bytes().all(is_allowed)
+    {
         true => Ok(()),
         false => Err(MalformedChange::ChangeId),
     }
@@ -71,19 +79,21 @@
         .map_err(|err| MalformedChange::Body { path: path.clone(), reason: err.to_string() })
 }
 
-/// Gives the digest by which a repeated id is told from a reused one.
+/// Returns the digest of a request, which distinguishes a repeated request from another one with
+/// the same id.
 ///
-/// The base counts as content: a request rebuilt on a newer base is another decision of the
-/// operator's, so it needs an id of its own once the first was accepted.
+/// The base is part of the digest: a request made for a newer base is another decision of the
+/// operator and needs an id of its own once the first one was accepted.
 pub fn request_digest(request: &ChangeRequest) -> ContentHash {
     hash_json(request)
 }
 
-/// Gives the record that a request becomes at a version.
+/// Returns the record of a request that is accepted at the given version and time.
 pub fn record_of(request: &ChangeRequest, version: Version, now: UnixMillis) -> ChangeRecord {
-    let paths = |is_written: bool| {
-        let picked = request.writes.iter().filter(move |(_, body)| body.is_some() == is_written);
-        picked.map(|(path, _)| path.clone()).collect()
+    let paths_of = |is_written: bool| {
+        let selected_writes =
+            request.writes.iter().filter(move |(_, body)| body.is_some() == is_written);
+        selected_writes.map(|(path, _)| path.clone()).collect()
     };
     ChangeRecord {
         version,
@@ -92,8 +102,8 @@
         author: request.author.clone(),
         revision: request.revision.clone(),
         accepted_at: now,
-        written: paths(true),
-        withdrawn: paths(false),
+        written: paths_of(true),
+        withdrawn: paths_of(false),
     }
 }
 
--- a/components/ledger/src/commit.rs
+++ b/components/ledger/src/commit.rs
@@ -1,4 +1,8 @@
-//! The way of a change to the head.
+//! The commit of a change to the head.
+//!
+//! A submit reads the head, checks the change against it, and replaces the head under a condition
+//! on its revision. It tries again if another commit came first, and resolves writes whose answer
+//! was lost before it answers that a change was not accepted.
 
 use std::sync::Arc;
 
@@ -18,16 +22,16 @@
     ledger::HeadRevision,
 };
 
-/// Most conflicting records named to an operator who lost a race. More would not be read.
-const MAX_CONFLICTING: usize = 16;
+/// Largest number of conflicting records reported to an operator. More would not be read.
+const MAX_CONFLICTING_RECORDS: usize = 16;
 
-/// Why one try did not accept the change.
+/// Reason why one try did not commit the change.
 enum TryError {
-    /// Another try may.
+    /// Another try may succeed.
     Retry,
-    /// The platform is away; nothing was done in this try.
-    Away(StoreError),
-    /// No further try will.
+    /// The platform is unavailable; this try had no effect.
+    Unavailable(StoreError),
+    /// No further try can succeed.
     Final(SubmitError),
 }
 
@@ -46,7 +50,7 @@
             StoreError::TooLarge { size } => {
                 Self::Final(SubmitError::TooLarge { size, limit: MAX_VALUE_BYTES })
             }
-            err => Self::Away(err),
+            err => Self::Unavailable(err),
         }
     }
 }
@@ -57,35 +61,36 @@
     }
 }
 
-/// A change on its way, with what its earlier tries left open.
-struct ChangeAttempt<'a> {
+/// A change that is being submitted, with what earlier tries left open.
+struct PendingChange<'a> {
     request: &'a ChangeRequest,
     digest: ContentHash,
     now: UnixMillis,
-    /// Head revision on which a put was sent whose answer was lost.
+    /// Head revision under which a put was sent whose answer was lost.
     ///
-    /// Such a put may have taken effect, and it may still do so later. But it can do so only while
-    /// the head has this revision, and revisions are never used twice. So a head that has moved on
-    /// settles it: either the head's records have the change, or the put can never land. A head
-    /// that has not moved is sent the very same bytes under the very same condition; of the two
-    /// puts the platform lets only one through, and both would have made the same record.
-    doubt: Option<HeadRevision>,
-    /// Hash of the subtree written by an earlier try, which need not be written again.
-    kept: Option<ContentHash>,
+    /// Such a put may have taken effect or may still take effect later, but only while the head
+    /// has this revision, and revisions are never reused. A changed head therefore resolves it:
+    /// either the records of the head contain the change, or the put can never take effect. To an
+    /// unchanged head the same bytes are sent under the same condition; the platform accepts only
+    /// one of the two puts, and both would create the same record.
+    unresolved_put: Option<HeadRevision>,
+    /// Hash of the subtree that an earlier try wrote and that need not be written again.
+    written_tree: Option<ContentHash>,
     /// Version up to which an earlier try found no entry of this change.
-    absent_to: Option<Version>,
+    absent_up_to: Option<Version>,
 }
 
-/// What a commit writes.
+/// The objects that a commit writes.
 struct CommitPlan {
     snapshot: ConfigSnapshot,
     tree: Arc<TeamTree>,
     record: ChangeRecord,
-    moved: usize,
+    moved_count: usize,
     head: LedgerHead,
 }
 
 impl Ledger {
+    /// Tries to commit a change until it is accepted, rejected or out of tries.
     pub(crate) async fn commit_change(
         &self,
         request: &ChangeRequest,
@@ -93,82 +98,87 @@
     ) -> Result<ChangeRecord, SubmitError> {
         check_request(request)?;
         let digest = request_digest(request);
-        let (doubt, kept, absent_to) = (None, None, None);
-        let mut attempt = ChangeAttempt { request, digest, now, doubt, kept, absent_to };
-        let deadline = Instant::now() + self.settings.submit_time;
+        let (unresolved_put, written_tree, absent_up_to) = (None, None, None);
+        let mut pending =
+            PendingChange { request, digest, now, unresolved_put, written_tree, absent_up_to };
+        let deadline = Instant::now() + self.settings.submit_timeout;
         let mut retry_after = self.settings.retry_after;
-        for number in 0..self.settings.submit_tries.max(1) {
-            if number > 0 {
-                self.pause(number - 1).await;
+        for try_index in 0..self.settings.submit_tries.max(1) {
+            if try_index > 0 {
+                self.pause(try_index - 1).await;
             }
-            if number > 0 && Instant::now() >= deadline {
+            if try_index > 0 && Instant::now() >= deadline {
                 break;
             }
-            match self.try_commit(&mut attempt).await {
+            match self.try_commit(&mut pending).await {
                 Ok(record) => return Ok(record),
                 Err(TryError::Retry) => {}
-                // With a put in doubt, "not accepted" would be a guess, so the tries go on.
-                Err(TryError::Away(err)) if attempt.doubt.is_some() => {
+                // While a put is unresolved, "not accepted" could be wrong, so the tries continue.
+                Err(TryError::Unavailable(err)) if pending.unresolved_put.is_some() => {
                     retry_after = self.retry_after(&err);
                 }
-                Err(TryError::Away(err)) => {
+                Err(TryError::Unavailable(err)) => {
                     let retry_after = self.retry_after(&err);
                     return Err(SubmitError::NotAccepted { retry_after });
                 }
-                Err(TryError::Final(err)) => return Err(attempt.settle(err)),
+                Err(TryError::Final(err)) => return Err(pending.final_error(err)),
             }
         }
-        Err(attempt.settle(SubmitError::NotAccepted { retry_after }))
+        Err(pending.final_error(SubmitError::NotAccepted { retry_after }))
     }
 
-    async fn pause(&self, number: u32) {
-        // Operators whose commits meet on one head would with equal pauses meet there again.
+    /// Waits for a random delay before the next try.
+    async fn pause(&self, try_index: u32) {
+        // With equal delays, operators whose commits collide would collide again.
         let (base, cap) = (self.settings.backoff_base, self.settings.backoff_cap);
-        let pause = BackoffSettings { base, cap }.delay(number, &mut rand::rng());
+        let pause = BackoffSettings { base, cap }.delay(try_index, &mut rand::rng());
         tokio::time::sleep(pause).await;
     }
 
-    async fn try_commit(&self, attempt: &mut ChangeAttempt<'_>) -> Result<ChangeRecord, TryError> {
+    /// Tries once to commit the change on the current head.
+    async fn try_commit(&self, pending: &mut PendingChange<'_>) -> Result<ChangeRecord, TryError> {
         let (head, revision) = self.read_head().await?;
-        if let Some(entry) = self.find_again(attempt, &head).await? {
-            return attempt.recognise(entry);
+        if let Some(entry) = self.find_own_entry(pending, &head).await? {
+            return pending.resolve_with(entry);
         }
-        if attempt.doubt.is_some_and(|doubtful| doubtful != revision) {
-            attempt.doubt = None;
+        if pending.unresolved_put.is_some_and(|put_revision| put_revision != revision) {
+            pending.unresolved_put = None;
         }
-        let plan = self.plan_commit(attempt, &head, revision).await?;
-        self.keep_entries(head.tail.get(..plan.moved).unwrap_or_default()).await?;
-        self.keep_tree(attempt, &head, &plan).await?;
-        self.put_head(attempt, revision, plan).await
+        let plan = self.plan_commit(pending, &head, revision).await?;
+        self.write_history(head.tail.get(..plan.moved_count).unwrap_or_default()).await?;
+        self.write_tree(pending, &head, &plan).await?;
+        self.put_head(pending, revision, plan).await
     }
 
-    /// Finds the entry of the change, without a call where an earlier try has looked and all
-    /// versions since are in the head's tail.
-    async fn find_again(
+    /// Returns the entry of the change. Needs no call if an earlier try has looked it up and all
+    /// later versions are in the tail of the head.
+    async fn find_own_entry(
         &self,
-        attempt: &mut ChangeAttempt<'_>,
+        pending: &mut PendingChange<'_>,
         head: &LedgerHead,
     ) -> Result<Option<LedgerEntry>, TryError> {
-        let change_id = &attempt.request.change_id;
-        let found = match attempt.absent_to {
+        let change_id = &pending.request.change_id;
+        let found = match pending.absent_up_to {
             Some(version) if head.first() <= version + 1 => head.find(change_id).cloned(),
             _ => self.find_entry(head, change_id).await?,
         };
-        attempt.absent_to = Some(head.root.version);
+        pending.absent_up_to = Some(head.root.version);
         Ok(found)
     }
 
+    /// Checks the change against the configuration and returns the objects to write.
     async fn plan_commit(
         &self,
-        attempt: &ChangeAttempt<'_>,
+        pending: &PendingChange<'_>,
         head: &LedgerHead,
         revision: HeadRevision,
     ) -> Result<CommitPlan, TryError> {
-        let request = attempt.request;
+        let request = pending.request;
         self.check_base(request, head).await?;
         let mut snapshot = self.read_trees(head, &ConfigSnapshot::default()).await?;
-        // A try that loses the race leaves the next one only the subtrees changed since to read.
-        self.remember(snapshot.clone(), revision);
+        // If this try loses against another commit, the next one only reads the subtrees changed
+        // since.
+        self.cache_snapshot(snapshot.clone(), revision);
         let tree = snapshot.trees.get(&request.team).cloned().unwrap_or_default();
         check_withdrawn(request, &tree)?;
         let tree = Arc::new(tree.with_writes(&request.writes));
@@ -177,74 +187,77 @@
         if !faults.is_empty() {
             return Err(TryError::Final(SubmitError::Invalid { faults }));
         }
-        let record = record_of(request, head.root.version + 1, attempt.now);
-        let entry = LedgerEntry { record: record.clone(), digest: attempt.digest.clone() };
-        let moved = head.overflow(&self.settings).len();
-        let head = head.next(tree.hash(), entry, moved);
+        let record = record_of(request, head.root.version + 1, pending.now);
+        let entry = LedgerEntry { record: record.clone(), digest: pending.digest.clone() };
+        let moved_count = head.overflow(&self.settings).len();
+        let head = head.next(tree.hash(), entry, moved_count);
         snapshot.root = head.root.clone();
-        Ok(CommitPlan { snapshot, tree, record, moved, head })
+        Ok(CommitPlan { snapshot, tree, record, moved_count, head })
     }
 
-    /// Refuses a change made on an outdated view of its team's subtree. Without this, the slower
-    /// of two operators would undo the other's change without either noticing.
+    /// Rejects a change that was made on an outdated version of the subtree of its team. Otherwise
+    /// the slower of two operators would undo the change of the other unnoticed.
     async fn check_base(&self, request: &ChangeRequest, head: &LedgerHead) -> Result<(), TryError> {
         let (base, newest) = (request.base, head.root.version);
-        let changed = head.team_version(&request.team);
+        let last_change = head.team_version(&request.team);
         if base > newest {
             return Err(MalformedChange::BaseAhead { base, newest }.into());
         }
         if !head.root.trees.contains_key(&request.team) && head.root.trees.len() >= MAX_TEAMS {
             return Err(MalformedChange::TooManyTeams { team: request.team.clone() }.into());
         }
-        if changed <= base {
+        if last_change <= base {
             return Ok(());
         }
-        // The last change of the subtree may have left the tail; it is named all the same.
+        // The last change of the subtree may have left the tail; it is reported nevertheless.
         let entries = match head.first() {
-            first if changed < first => self.read_entries(head, changed, 1).await?,
+            first if last_change < first => self.read_entries(head, last_change, 1).await?,
             _ => head.tail.clone(),
         };
-        let conflicts =
+        let is_conflicting =
             |record: &ChangeRecord| record.team == request.team && record.version > base;
-        let records = entries.into_iter().map(|entry| entry.record).filter(conflicts);
+        let records = entries.into_iter().map(|entry| entry.record).filter(is_conflicting);
         let mut conflicting: Vec<_> = records.collect();
-        conflicting.drain(..conflicting.len().saturating_sub(MAX_CONFLICTING));
+        conflicting.drain(..conflicting.len().saturating_sub(MAX_CONFLICTING_RECORDS));
         Err(TryError::Final(SubmitError::Raced { conflicting }))
     }
 
-    /// Writes the entries that leave the tail, each by its id and all as a chunk of history.
+    /// Writes the entries that leave the tail, each by its id and all together as a history chunk.
     ///
-    /// All of it comes before the commit that drops them from the head, or else an accepted change
-    /// could not be found for a while, and never again if this process dies in between. The
-    /// content is the same whoever writes it, so that a key already taken is as good as written,
-    /// and a write delayed for long harms nothing.
-    async fn keep_entries(&self, entries: &[LedgerEntry]) -> Result<(), TryError> {
+    /// These writes precede the commit that removes the entries from the head. Otherwise an
+    /// accepted change could not be found for a while, and never again if this process ended in
+    /// between. Every writer writes the same content, so an existing key counts as written, and a
+    /// write that takes effect late does no harm.
+    async fn write_history(&self, entries: &[LedgerEntry]) -> Result<(), TryError> {
         let Some(first) = entries.first() else { return Ok(()) };
         for entry in entries {
-            self.keep(&self.keys.change(&entry.record.change_id), encode(entry)?).await?;
+            self.create_immutable(&self.keys.change(&entry.record.change_id), encode(entry)?)
+                .await?;
         }
-        self.keep(&self.keys.history(first.record.version), encode(&entries)?).await
+        self.create_immutable(&self.keys.history(first.record.version), encode(&entries)?).await
     }
 
-    async fn keep_tree(
+    /// Writes the changed subtree, unless the head or an earlier try has written it.
+    async fn write_tree(
         &self,
-        attempt: &mut ChangeAttempt<'_>,
+        pending: &mut PendingChange<'_>,
         head: &LedgerHead,
         plan: &CommitPlan,
     ) -> Result<(), TryError> {
         let value = encode(&*plan.tree)?;
         let hash = content_hash(value.as_bytes());
-        let named = head.root.trees.get(&plan.record.team).map(|tree_ref| &tree_ref.hash);
-        if named == Some(&hash) || attempt.kept.as_ref() == Some(&hash) {
+        let current_hash = head.root.trees.get(&plan.record.team).map(|tree_ref| &tree_ref.hash);
+        if current_hash == Some(&hash) || pending.written_tree.as_ref() == Some(&hash) {
             return Ok(());
         }
         check_size(&value)?;
-        self.keep(&self.keys.tree(&hash), value).await?;
-        attempt.kept = Some(hash);
+        self.create_immutable(&self.keys.tree(&hash), value).await?;
+        pending.written_tree = Some(hash);
         Ok(())
     }
 
-    async fn keep(&self, key: &str, value: String) -> Result<(), TryError> {
+    /// Writes an object whose content depends on its key alone, so that an existing one is equal.
+    async fn create_immutable(&self, key: &str, value: String) -> Result<(), TryError> {
         match self.store.create(key, value).await {
             Ok(_) | Err(StoreError::Conflict { .. }) => Ok(()),
             // Writing it again is harmless, so the outcome need not be looked up.
@@ -253,9 +266,10 @@
         }
     }
 
+    /// Replaces the head under a condition on its revision, which commits the change.
     async fn put_head(
         &self,
-        attempt: &mut ChangeAttempt<'_>,
+        pending: &mut PendingChange<'_>,
         revision: HeadRevision,
         plan: CommitPlan,
     ) -> Result<ChangeRecord, TryError> {
@@ -269,16 +283,20 @@
         match put {
             Ok(revision) => {
                 let (version, team) = (plan.record.version, &plan.record.team);
-                log::info!("ledger: version {version} accepted for team {team}");
-                self.remember(plan.snapshot, Some(revision));
+                log::info!("ledger: accepted version {version} of team {team}");
+                self.cache_snapshot(plan.snapshot, Some(revision));
                 Ok(plan.record)
             }
-            // Another commit came first, or an earlier put of this one landed: the next try tells.
+            // Another commit came first, or an earlier put of this change took effect: the next
+            // try finds out.
             Err(StoreError::Conflict { .. }) => Err(TryError::Retry),
-            // An answer out of protocol may follow a write that took effect.
+            // An invalid answer may follow a write that took effect.
             Err(err @ (StoreError::Unknown { .. } | StoreError::Protocol { .. })) => {
-                log::warn!("ledger: commit of {} in doubt: {err}", attempt.request.change_id);
-                attempt.doubt = Some(revision);
+                log::warn!(
+                    "ledger: outcome of the commit of {} is unresolved: {err}",
+                    pending.request.change_id
+                );
+                pending.unresolved_put = Some(revision);
                 Err(TryError::Retry)
             }
             Err(err) => Err(err.into()),
@@ -286,13 +304,13 @@
     }
 }
 
-impl ChangeAttempt<'_> {
-    /// Answers with the change that was accepted under this id.
+impl PendingChange<'_> {
+    /// Returns the change that was accepted under this id, or an error if its content differs.
     ///
-    /// It was not there when a put came into doubt, so the head has moved on since and an entry of
-    /// other content settles the doubt as well.
-    fn recognise(&mut self, entry: LedgerEntry) -> Result<ChangeRecord, TryError> {
-        self.doubt = None;
+    /// The entry did not exist when a put became unresolved. The head has therefore changed since,
+    /// which resolves the put even if the entry has other content.
+    fn resolve_with(&mut self, entry: LedgerEntry) -> Result<ChangeRecord, TryError> {
+        self.unresolved_put = None;
         match entry.digest == self.digest {
             true => Ok(entry.record),
             false => {
@@ -302,16 +320,17 @@
         }
     }
 
-    /// Turns an answer into "unknown" while a put is in doubt, because any other says that
-    /// nothing was done.
-    fn settle(&self, err: SubmitError) -> SubmitError {
-        match self.doubt {
+    /// Converts an error to "unknown" while a put is unresolved, because any other error means
+    /// that the change was not applied.
+    fn final_error(&self, err: SubmitError) -> SubmitError {
+        match self.unresolved_put {
             Some(_) => SubmitError::Unknown { change_id: self.request.change_id.clone() },
             None => err,
         }
     }
 }
 
+/// Checks that all paths to withdraw exist.
 fn check_withdrawn(request: &ChangeRequest, tree: &TeamTree) -> Result<(), MalformedChange> {
     let withdrawn = request.writes.iter().filter(|(_, body)| body.is_none());
     let missing = withdrawn.map(|(path, _)| path).find(|path| !tree.settings.contains_key(*path));
--- a/components/ledger/src/error.rs
+++ b/components/ledger/src/error.rs
@@ -1,4 +1,4 @@
-//! Failures of the ledger.
+//! Errors of the ledger.
 
 use std::time::Duration;
 
@@ -8,186 +8,191 @@
 
 use crate::{MAX_CHANGE_ID_BYTES, MAX_LABEL_BYTES, MAX_RECORD_BYTES, MAX_WRITES};
 
-/// Why a change was not accepted, or why that cannot be told.
+/// Reason why a change was not accepted, or why its outcome is unknown.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SubmitError {
-    /// The team's subtree changed after the request's base. Nothing was done.
-    #[error("the subtree changed since: {} newer changes", conflicting.len())]
+    /// The subtree of the team changed after the base of the request. The change was not applied.
+    #[error("the subtree has {} changes newer than the base", conflicting.len())]
     Raced {
-        /// Who changed what since, oldest first; the newest sixteen that the head still keeps,
-        /// and never none.
+        /// Changes of the subtree since the base, oldest first: at least one, and at most the
+        /// newest 16 that the head still holds.
         conflicting: Vec<ChangeRecord>,
     },
-    /// The configuration would be at fault with this change. Nothing was done.
+    /// The configuration would be invalid with this change. The change was not applied.
     #[error("the configuration would have {} faults", faults.len())]
     Invalid {
         /// All faults found.
         faults: Vec<ConfigFault>,
     },
-    /// The request itself is not acceptable, whatever the configuration. Nothing was done.
+    /// The request is invalid for any configuration. The change was not applied.
     #[error(transparent)]
     Malformed(#[from] MalformedChange),
-    /// The id belongs to an accepted change of other content. Nothing was done.
-    #[error("change id {} is version {} with other content", record.change_id, record.version)]
+    /// The id belongs to an accepted change with other content. The change was not applied.
+    #[error(
+        "change id {} already belongs to version {} with other content",
+        record.change_id, record.version
+    )]
     IdReused {
-        /// The change that has the id.
+        /// The accepted change with this id.
         record: Box<ChangeRecord>,
     },
-    /// The platform is away or too busy. Nothing was done, and nothing will be done later.
-    #[error("not accepted; come back in {}ms", retry_after.as_millis())]
+    /// The platform is unavailable or overloaded. The change was not applied and will not be
+    /// applied later.
+    #[error("change not accepted; retry in {}ms", retry_after.as_millis())]
     NotAccepted {
-        /// When to come back.
+        /// Time after which to retry.
         retry_after: Duration,
     },
-    /// The commit's answer was lost and the platform does not tell what became of it. The change
-    /// may be in force or may yet come into force. Submitting the same request again settles it.
-    #[error("outcome unknown; ask for change {change_id}")]
+    /// The answer to the commit was lost, and the platform does not tell its outcome. The change
+    /// may be in force or may yet take effect. Submitting the same request again resolves this.
+    #[error("outcome unknown; look up change {change_id}")]
     Unknown {
-        /// The id to ask for.
+        /// Id of the change to look up.
         change_id: ChangeId,
     },
-    /// The subtree or the head would outgrow a platform value. Nothing was done.
-    #[error("the change makes a value of {size} bytes; at most {limit}")]
+    /// The subtree or the head would exceed the size of a platform value. The change was not
+    /// applied.
+    #[error("the change needs a value of {size} bytes; at most {limit} are allowed")]
     TooLarge {
-        /// Size it would have, in bytes.
+        /// Size of the value in bytes.
         size: usize,
-        /// Largest size, in bytes.
+        /// Largest size in bytes.
         limit: usize,
     },
-    /// What the platform holds is not what the ledger writes. Nothing was done.
+    /// The platform holds data that the ledger did not write. The change was not applied.
     #[error(transparent)]
     Corrupt(#[from] CorruptData),
 }
 
-/// Why a request is not acceptable, whatever the configuration.
+/// Reason why a request is invalid for any configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum MalformedChange {
-    /// A path has a bad shape.
+    /// A path is malformed.
     #[error(transparent)]
     Path(#[from] PathError),
     /// A path lies outside the team's subtree.
     #[error("path {path} is outside the subtree of team {team}")]
     ForeignPath {
-        /// The path.
+        /// Path of the setting.
         path: SettingPath,
-        /// The team of the request.
+        /// Team of the request.
         team: TeamName,
     },
-    /// A body has a field out of bounds.
+    /// A field of a setting is out of bounds.
     #[error("setting {path}: {reason}")]
     Body {
         /// Path of the setting.
         path: SettingPath,
-        /// What is wrong, in the words of the declaration's own check.
+        /// Violation, as described by the check of the declaration.
         reason: String,
     },
     /// The change id is empty, too long or has a character outside `A-Z a-z 0-9 - _ .`.
     #[error(
-        "bad change id; allowed: 1 to {MAX_CHANGE_ID_BYTES} of A-Z a-z 0-9 - _ . beginning with none of - _ ."
+        "invalid change id; allowed: 1 to {MAX_CHANGE_ID_BYTES} of A-Z a-z 0-9 - _ . starting with none of - _ ."
     )]
     ChangeId,
     /// The author or the revision is empty, too long or has control characters.
-    #[error("bad {field}; allowed: 1 to {MAX_LABEL_BYTES} bytes without control characters")]
+    #[error("invalid {field}; allowed: 1 to {MAX_LABEL_BYTES} bytes without control characters")]
     Label {
         /// Name of the field.
         field: &'static str,
     },
-    /// The request writes nothing.
+    /// The request has no writes.
     #[error("the change writes nothing")]
     Empty,
-    /// The request has more writes than one change may have.
-    #[error("the change has {0} writes; at most {MAX_WRITES}")]
+    /// The request has more writes than allowed in one change.
+    #[error("the change has {0} writes; at most {MAX_WRITES} are allowed")]
     TooManyWrites(usize),
-    /// The paths together make a record larger than history keeps.
-    #[error("the change makes a record of {0} bytes; at most {MAX_RECORD_BYTES}")]
+    /// The record of the change would be larger than history can hold.
+    #[error("the record of the change has {0} bytes; at most {MAX_RECORD_BYTES} are allowed")]
     RecordTooLarge(usize),
-    /// The base is newer than any version accepted, so it was read from another ledger.
+    /// The base is newer than any accepted version, so it was read from another ledger.
     #[error("base {base} is newer than the newest version {newest}")]
     BaseAhead {
         /// Base of the request.
         base: Version,
-        /// Newest version accepted.
+        /// Newest accepted version.
         newest: Version,
     },
     /// A withdrawn path holds no setting.
     #[error("path {path} holds no setting to withdraw")]
     NothingToWithdraw {
-        /// The path.
+        /// Path of the setting.
         path: SettingPath,
     },
-    /// The fleet has as many teams as the head holds.
-    #[error("team {team} would be one too many")]
+    /// The fleet has as many teams as the head can hold.
+    #[error("team {team} exceeds the largest number of teams")]
     TooManyTeams {
-        /// The new team.
+        /// Name of the new team.
         team: TeamName,
     },
 }
 
-/// Data in the platform that the ledger did not write so, or that was lost there.
+/// Data in the platform that the ledger did not write, or that was lost.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CorruptData {
     /// A value cannot be decoded.
-    #[error("object {key} cannot be read: {reason}")]
+    #[error("object {key} cannot be decoded: {reason}")]
     Undecodable {
         /// Key of the object.
         key: String,
-        /// What the decoder saw.
+        /// Error of the decoder.
         reason: String,
     },
-    /// A subtree's content does not match its hash.
+    /// The content of a subtree does not match its hash.
     #[error("object {key} does not match its hash")]
     HashMismatch {
         /// Key of the object.
         key: String,
     },
-    /// An object that the head relies on is gone.
+    /// An object that the head refers to is missing.
     #[error("object {key} is missing")]
     Missing {
         /// Key of the object.
         key: String,
     },
-    /// The head's tail does not join its version and its history.
-    #[error("the head at version {version} has a broken tail")]
+    /// The tail of the head does not connect history to the version of the head.
+    #[error("the head at version {version} has a gap in its tail")]
     BrokenTail {
         /// Version of the head.
         version: Version,
     },
-    /// The platform's head gives a version other content than is held here for it.
-    #[error("the platform holds another version {version} than is held here")]
+    /// The platform and this daemon have different content for one version.
+    #[error("the platform has other content for version {version} than this daemon")]
     Diverged {
         /// The version.
         version: Version,
     },
-    /// The platform's head is older than one already held: it was reset or restored.
-    #[error("the platform holds version {found}, older than version {held} held here")]
+    /// The head in the platform is older than one read before: the platform was reset or restored.
+    #[error("the platform has version {found}, older than the known version {known}")]
     Regressed {
-        /// Version found in the platform.
+        /// Version in the platform.
         found: Version,
-        /// Version held.
-        held: Version,
+        /// Version known to this daemon.
+        known: Version,
     },
 }
 
-/// Why a read of the ledger gave no result.
+/// Reason why the ledger could not be read.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum LedgerError {
-    /// The platform is away or too busy.
-    #[error("the platform is away; come back in {}ms", retry_after.as_millis())]
+    /// The platform is unavailable or overloaded.
+    #[error("the platform is unavailable; retry in {}ms", retry_after.as_millis())]
     Unavailable {
-        /// When to come back.
+        /// Time after which to retry.
         retry_after: Duration,
     },
-    /// What the platform holds is not what the ledger writes.
+    /// The platform holds data that the ledger did not write.
     #[error(transparent)]
     Corrupt(#[from] CorruptData),
 }
 
-/// Why a read gave nothing, before it is known whose answer it spoils.
+/// Reason why a read failed, before it is converted to the error of the caller.
 #[derive(Debug)]
 pub(crate) enum ReadError {
     /// The platform failed.
     Store(StoreError),
-    /// The platform's data is not the ledger's.
+    /// The platform holds data that the ledger did not write.
     Corrupt(CorruptData),
 }
 
--- a/components/ledger/src/keys.rs
+++ b/components/ledger/src/keys.rs
@@ -1,9 +1,9 @@
-//! Keys of the ledger's objects in the platform.
+//! Keys of the objects of the ledger in the platform.
 
 use sk_model::Version;
 use sk_store::ObjectKey;
 
-/// Names the ledger's objects below one prefix.
+/// Builds the keys of all objects below one prefix.
 #[derive(Clone, Debug)]
 pub(crate) struct KeySpace {
     prefix: String,
@@ -14,22 +14,23 @@
         Self { prefix: prefix.to_owned() }
     }
 
-    /// The commit point.
+    /// Returns the key of the head, which is the commit point.
     pub(crate) fn head(&self) -> ObjectKey {
         format!("{}head", self.prefix)
     }
 
-    /// A team's subtree by content.
+    /// Returns the key of the subtree of a team, by the hash of its content.
     pub(crate) fn tree(&self, hash: &str) -> ObjectKey {
         format!("{}trees/{hash}", self.prefix)
     }
 
-    /// The record of a change that has left the head's tail.
+    /// Returns the key of the entry of a change that has left the tail of the head.
     pub(crate) fn change(&self, change_id: &str) -> ObjectKey {
         format!("{}changes/{change_id}", self.prefix)
     }
 
-    /// A chunk of history. Twenty digits hold any version, so that keys sort as versions do.
+    /// Returns the key of a history chunk. 20 digits hold any version, so that keys sort in the
+    /// order of versions.
     pub(crate) fn history(&self, first: Version) -> ObjectKey {
         format!("{}history/{first:020}", self.prefix)
     }
--- a/components/ledger/src/lib.rs
+++ b/components/ledger/src/lib.rs
@@ -1,8 +1,9 @@
-//! Accepting changes: versions, conflicts and history in the platform.
+//! Acceptance of configuration changes: versions, conflicts and history in the platform.
 //!
-//! One head object, replaced under a condition on its revision, is the only commit point. All
-//! else that the ledger writes is immutable and written before the head that refers to it. See
-//! `docs/design/ledger.md` for the ways weighed.
+//! The only commit point is one head object, which is replaced by a write that is conditional on
+//! its revision. Everything else that the ledger writes is immutable and written before the head
+//! that refers to it. Two operators can therefore neither get the same version nor overwrite each
+//! other's change. See `docs/design/ledger.md` for the alternatives considered.
 
 mod check;
 mod commit;
--- a/components/ledger/tests/call_counts.rs
+++ b/components/ledger/tests/call_counts.rs
@@ -1,4 +1,4 @@
-//! What accepting and loading cost in calls to the platform.
+//! The number of platform calls for accepting and loading.
 
 mod common;
 
@@ -22,14 +22,14 @@
     store.take_counts();
     let reader = Ledger::new(store.clone(), LedgerSettings::default());
     let held = reader.load(&ConfigSnapshot::default()).await.expect("up");
-    assert_eq!(store.take_counts(), (1 + TEAMS, 0), "load with nothing held");
+    assert_eq!(store.take_counts(), (1 + TEAMS, 0), "load with nothing known");
     let change = request("c1", "ana", 1, &[("/team0/service", None)]);
     ledger.submit(&change, 1).await.expect("accepted");
-    assert_eq!(store.take_counts(), (2, 2), "accept on a ledger that has seen the head");
+    assert_eq!(store.take_counts(), (2, 2), "accept on a ledger that has read the head");
     let held = reader.wait_newer(&held, Duration::from_secs(9)).await.expect("up").expect("newer");
     assert_eq!(store.take_counts(), (2, 0), "a watch and the changed subtree");
     reader.load(&held).await.expect("up");
-    assert_eq!(store.take_counts(), (1, 0), "load with all held");
+    assert_eq!(store.take_counts(), (1, 0), "load with everything known");
     for number in 0..800_u64 {
         let (id, path) = (format!("n{number}"), "/team1/value");
         let base = held.version() + number;
@@ -37,12 +37,14 @@
         ledger.submit(&change, 1).await.expect("accepted");
     }
     let (reads, writes) = store.take_counts();
-    // The first 58 changes fill the tail; then each takes 2 writes and an eighth of 8 + 1 more.
+    // The first 58 changes fill the tail; after that each change takes 2 writes and an eighth of 8
+    // + 1 more.
     assert_eq!((reads, writes), (1600, 1600 + 93 * 9));
 }
 
-/// All teams roll out at the same moment through as many daemons, and each commit makes all others
-/// stale. Without jitter and enough tries, some operators would be sent away for no fault.
+/// All teams submit at the same moment through as many daemons, and each commit outdates all
+/// others. Without jitter and enough tries, some operators would be rejected without a reason of
+/// their own.
 #[tokio::test]
 async fn all_teams_at_once() {
     let platform = Arc::new(FakeStore::new());
--- a/components/ledger/tests/common/mod.rs
+++ b/components/ledger/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Requests and ledgers, shared by the ledger's tests.
+//! Helpers that create requests and ledgers.
 #![allow(dead_code)] // Each test file uses its own part.
 
 use std::{sync::Arc, time::Duration};
@@ -7,7 +7,7 @@
 use sk_model::{ChangeRequest, SettingBody, Version, parse_declaration};
 use sk_store::{FaultStore, ObjectStore};
 
-/// Makes a ledger with a short tail, so that history is used, and without pauses.
+/// Creates a ledger with a short tail, so that history is used, and without delays.
 pub fn quick_ledger(store: &Arc<FaultStore>) -> Arc<Ledger> {
     let settings = LedgerSettings {
         tail_records: 8,
@@ -34,7 +34,7 @@
     setting(&format!("kind = \"value\"\ntext = \"{}\"", text.to_string()))
 }
 
-/// Makes a request; the team is that of the first path.
+/// Creates a request; its team is that of the first path.
 pub fn request(
     change_id: &str,
     author: &str,
--- a/components/ledger/tests/spoilt_platform.rs
+++ b/components/ledger/tests/corrupt_platform.rs
@@ -1,4 +1,4 @@
-//! Data in the platform that is not what the ledger wrote.
+//! Data in the platform that the ledger did not write.
 
 mod common;
 
@@ -19,7 +19,8 @@
     ledger
 }
 
-/// Someone edits a subtree in the platform by hand. Proxies would run what no operator wrote.
+/// A subtree is edited in the platform by hand. Proxies would apply settings that no operator
+/// submitted.
 #[tokio::test]
 async fn edited_subtree() {
     let store = FaultStore::new(&Arc::default());
@@ -32,8 +33,8 @@
     assert!(matches!(loaded, Err(LedgerError::Corrupt(CorruptData::HashMismatch { .. }))));
 }
 
-/// The platform comes back empty after a disaster. Version 1 would be given out a second time, and
-/// proxies at version 2 would be told to go back or would never take it.
+/// The platform is empty after a disaster. Version 1 would be assigned a second time, and proxies
+/// at version 2 would go back or never accept it.
 #[tokio::test]
 async fn reset_platform() {
     let platform = Arc::new(FakeStore::new());
@@ -42,7 +43,7 @@
     let held = ledger.load(&ConfigSnapshot::default()).await.expect("up");
     let head = platform.get("sapphirekeel/head").await.expect("up").expect("a head");
     platform.delete(&head.key, head.revision).await.expect("up");
-    let expected = CorruptData::Regressed { found: 0, held: 2 };
+    let expected = CorruptData::Regressed { found: 0, known: 2 };
     assert_eq!(ledger.load(&held).await, Err(LedgerError::Corrupt(expected.clone())));
     let change = request("c9", "ana", 0, &[("/one/setting", Some(value(1)))]);
     assert_eq!(ledger.submit(&change, 1).await, Err(SubmitError::Corrupt(expected)));
--- a/components/ledger/tests/first_change.rs
+++ b/components/ledger/tests/first_change.rs
@@ -1,4 +1,4 @@
-//! The plain life of one change.
+//! One change without faults: accepted, looked up, loaded and awaited.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
--- a/components/ledger/tests/head_size.rs
+++ b/components/ledger/tests/head_size.rs
@@ -1,4 +1,4 @@
-//! How large the head grows.
+//! The largest size of the head.
 
 use sk_ledger::{
     LedgerEntry, LedgerHead, LedgerSettings, MAX_CHANGE_ID_BYTES, MAX_RECORD_BYTES, MAX_TEAMS,
@@ -6,7 +6,7 @@
 use sk_model::{ChangeRecord, MAX_PATH_BYTES, TreeRef, content_hash};
 use sk_store::MAX_VALUE_BYTES;
 
-/// Commits 300 changes of the first team and gives the largest head on the way, in bytes.
+/// Commits 300 changes of the first team and returns the size of the largest head in bytes.
 fn largest_head(teams: usize, team_bytes: usize, paths: usize) -> usize {
     let settings = LedgerSettings::default();
     let name = |number| format!("{number:0>team_bytes$}");
@@ -30,10 +30,10 @@
             withdrawn: Vec::new(),
         };
         assert!(serde_json::to_string(&record).expect("JSON").len() <= MAX_RECORD_BYTES);
-        let moved = head.overflow(&settings).len();
+        let moved_count = head.overflow(&settings).len();
         let entry = LedgerEntry { record, digest: content_hash(b"") };
-        head = head.next(content_hash(b""), entry, moved);
-        head.check().expect("a joined tail");
+        head = head.next(content_hash(b""), entry, moved_count);
+        head.check().expect("a tail without a gap");
         largest = largest.max(serde_json::to_string(&head).expect("JSON").len());
     }
     largest
@@ -46,8 +46,9 @@
     assert!(later < MAX_VALUE_BYTES / 5, "{later}");
 }
 
-/// Every team has the longest name and every change writes as many paths as a record may hold.
-/// A head that outgrows a platform value could not be replaced: nobody could change anything.
+/// Every team has the longest name, and every change writes as many paths as a record may hold. A
+/// head larger than a platform value could not be replaced, so that no change would be possible
+/// any more.
 #[test]
 fn largest_records() {
     let worst = largest_head(MAX_TEAMS, MAX_PATH_BYTES - 5, 236);
--- a/components/ledger/tests/long_history.rs
+++ b/components/ledger/tests/long_history.rs
@@ -1,4 +1,4 @@
-//! Records that have left the head.
+//! Records that have moved from the head to history.
 
 mod common;
 
@@ -48,8 +48,8 @@
 }
 
 /// A look-up is suspended between its two reads while the record moves from the head to history.
-/// Read in the wrong order, both places lack it, and the operator hears that his accepted change
-/// is not in force.
+/// Read in the wrong order, both places lack the record, and the operator is told that an accepted
+/// change is not in force.
 #[tokio::test]
 async fn move_during_lookup() {
     let store = FaultStore::new(&Arc::default());
--- a/components/ledger/tests/lost_answers.rs
+++ b/components/ledger/tests/lost_answers.rs
@@ -12,16 +12,16 @@
     FaultStore,
 };
 
-/// Calls of a first submit before the put of the head: two reads and the subtree.
+/// Number of calls of a first submit before the put of the head: two reads and the subtree.
 const BEFORE_PUT: usize = 3;
 
 fn at_put(faults: &[sk_store::CallFault]) -> Vec<sk_store::CallFault> {
     [&[Fine; BEFORE_PUT], faults].concat()
 }
 
-/// The platform commits a change, its answer is lost and an outage begins. Told "not accepted",
-/// the operator would write the change anew although it is in force; told "accepted" after a lost
-/// request, he would rely on what no proxy will ever hold.
+/// The platform commits a change, its answer is lost, and an outage begins. After "not accepted"
+/// the operator would submit the change anew although it is in force; after "accepted" for a lost
+/// request, the operator would rely on a change that no proxy ever gets.
 #[tokio::test]
 async fn outage_after_commit() {
     for (fault, is_in_force) in [(LoseAnswer, true), (LoseRequest, false)] {
@@ -38,7 +38,7 @@
     }
 }
 
-/// Suspends a submit of `c1` after its put, which `fault` spoils, while `meanwhile` is accepted.
+/// Suspends a submit of `c1` after its put, which `fault` disturbs, while `meanwhile` is accepted.
 async fn submit_around(
     fault: sk_store::CallFault,
     meanwhile: &[ChangeRequest],
@@ -57,8 +57,9 @@
     (store, task.await.expect("no panic"))
 }
 
-/// A put hangs on its way, its caller gives up and tries again, and then the first one arrives.
-/// The change would be in force twice, or undo what another team's operator wrote in between.
+/// A put is delayed, its caller gives up and tries again, and then the first put arrives. The
+/// change would be in force twice, or would undo what the operator of another team wrote in
+/// between.
 #[tokio::test]
 async fn late_arrival() {
     let second = request("c2", "bor", 0, &[("/two/value", Some(value(1)))]);
@@ -70,10 +71,10 @@
     assert_eq!(ids, ["c2", "c1"]);
 }
 
-/// A put is lost and another change wins the head, so that the lost one can never land. Told
-/// "unknown" all the same, the operator would have to ask again for what is settled.
+/// A put is lost and another change is committed, so that the lost one can never take effect. If
+/// the answer were "unknown", the operator would have to ask again although the outcome is known.
 #[tokio::test]
-async fn settled_by_others() {
+async fn resolved_by_others() {
     let writes = [("/one/service", Some(service()))];
     let (_, answer) = submit_around(LoseRequest, &[request("c2", "bor", 0, &writes)]).await;
     assert!(matches!(answer, Err(SubmitError::Raced { conflicting }) if conflicting.len() == 1));
@@ -82,8 +83,8 @@
 }
 
 /// A caller sends the same change through two daemons. One is suspended at its put while the other
-/// accepts the change and the record moves to history. The suspended one would tell that the
-/// change lost a race, although it is in force.
+/// accepts the change and its record moves to history. The suspended one would report a conflict
+/// although the change is in force.
 #[tokio::test]
 async fn moved_between_tries() {
     let change = request("c1", "ana", 0, &[("/one/service", Some(service()))]);
--- a/components/ledger/tests/naive/mod.rs
+++ b/components/ledger/tests/naive/mod.rs
@@ -1,4 +1,5 @@
-//! A naive ledger, which races and retries blindly, and a naive model, where nothing fails.
+//! A naive ledger, which retries without checking the outcome, and a naive model, in which nothing
+//! fails.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -20,7 +21,7 @@
 type Trees = BTreeMap<TeamName, Arc<TeamTree>>;
 pub type Answer = Result<ChangeRecord, SubmitError>;
 
-/// Whoever takes operators' changes.
+/// An implementation that accepts the changes of operators.
 #[async_trait]
 pub trait Acceptor: Send + Sync {
     async fn accept(&self, request: &ChangeRequest) -> Answer;
@@ -33,10 +34,11 @@
     }
 }
 
-/// Right as long as nobody else writes and no answer is lost.
+/// A ledger that is correct only while nobody else writes and no answer is lost.
 pub struct NaiveLedger {
     pub store: Arc<FaultStore>,
-    /// Whether the head is put under a condition, which leaves the blind retry as the only fault.
+    /// Whether the head is put under a condition, which leaves the unchecked retry as the only
+    /// fault.
     pub is_conditional: bool,
 }
 
@@ -100,7 +102,7 @@
     }
 }
 
-/// All accepted requests in order and what they make, in memory.
+/// All accepted requests in order, and the configuration they result in, in memory.
 #[derive(Default)]
 pub struct NaiveModel {
     pub accepted: Vec<ChangeRequest>,
@@ -118,8 +120,8 @@
         index.map(|index| index as Version + 1)
     }
 
-    /// Gives the word for what a submit has to answer when nothing fails.
-    pub fn verdict(&self, request: &ChangeRequest) -> String {
+    /// Returns the label of the answer that a submit has to get if nothing fails.
+    pub fn expected_label(&self, request: &ChangeRequest) -> String {
         let mut ids = self.accepted.iter().map(|accepted| &accepted.change_id);
         match self.version_of(request) {
             _ if is_foreign(request) => "malformed".to_owned(),
@@ -132,14 +134,20 @@
         }
     }
 
-    /// Follows one record of the history and checks all that it must not break.
-    pub fn follow(&mut self, record: &ChangeRecord, asked: &[ChangeRequest]) -> Result<(), String> {
+    /// Applies one record of the history, and checks all properties that it must not violate.
+    pub fn apply_record(
+        &mut self,
+        record: &ChangeRecord,
+        requests: &[ChangeRequest],
+    ) -> Result<(), String> {
         let version = self.accepted.len() as Version + 1;
-        let mut sources = asked.iter().filter(|request| request.author == record.author);
-        let request = sources.next().ok_or("a record nobody asked for")?;
-        let verdict = self.verdict(request);
-        if verdict != format!("accepted {version}") || *record != record_of(request, version, 7) {
-            return Err(format!("history has {record:?} but the model says {verdict}"));
+        let mut sources = requests.iter().filter(|request| request.author == record.author);
+        let request = sources.next().ok_or("a record that nobody requested")?;
+        let expected_label = self.expected_label(request);
+        if expected_label != format!("accepted {version}")
+            || *record != record_of(request, version, 7)
+        {
+            return Err(format!("history has {record:?} but the model expects {expected_label}"));
         }
         apply(&mut self.trees, request);
         self.accepted.push(request.clone());
@@ -147,8 +155,8 @@
     }
 }
 
-/// Gives the word for an answer.
-pub fn word(answer: &Answer) -> String {
+/// Returns the label of an answer.
+pub fn label(answer: &Answer) -> String {
     match answer {
         Ok(record) => format!("accepted {}", record.version),
         Err(SubmitError::Raced { .. }) => "raced".to_owned(),
@@ -167,11 +175,11 @@
 
 fn is_missing(trees: &Trees, request: &ChangeRequest) -> bool {
     let tree = trees.get(&request.team);
-    let holds = |path: &String| tree.is_some_and(|tree| tree.settings.contains_key(path));
-    request.writes.iter().any(|(path, body)| body.is_none() && !holds(path))
+    let has_setting = |path: &String| tree.is_some_and(|tree| tree.settings.contains_key(path));
+    request.writes.iter().any(|(path, body)| body.is_none() && !has_setting(path))
 }
 
-/// Applies a change and tells whether the outcome is valid.
+/// Applies a change and returns whether the resulting configuration is valid.
 fn apply(trees: &mut Trees, request: &ChangeRequest) -> bool {
     let tree = trees.entry(request.team.clone()).or_default();
     *tree = Arc::new(tree.with_writes(&request.writes));
--- a/components/ledger/tests/newer_version.rs
+++ b/components/ledger/tests/newer_version.rs
@@ -1,4 +1,4 @@
-//! Waiting for a version newer than the one held.
+//! Waiting for a version newer than the known one.
 
 mod common;
 
--- a/components/ledger/tests/operator_session.rs
+++ b/components/ledger/tests/operator_session.rs
@@ -1,4 +1,4 @@
-//! One session of two operators as they see it.
+//! One session of two operators and the answers they get.
 
 mod common;
 
@@ -66,7 +66,7 @@
         b2 by bor: invalid: route /ledvica/queue names the service /ledvica/board, which does not exist
         b3 by bor: accepted {"version":3,"change_id":"b3","team":"ledvica","author":"bor","revision":"main","accepted_at":5,"written":[],"withdrawn":["/ledvica/queue"]}
         a3 by ana: raced with {"version":3,"change_id":"b3","team":"ledvica","author":"bor","revision":"main","accepted_at":5,"written":[],"withdrawn":["/ledvica/queue"]}
-        a4 by ana: not accepted; come back in 1000ms
+        a4 by ana: change not accepted; retry in 1000ms
         a4 by ana: accepted {"version":4,"change_id":"a4","team":"ledvica","author":"ana","revision":"main","accepted_at":8,"written":["/ledvica/queue"],"withdrawn":[]}
         a4 by ana: accepted {"version":4,"change_id":"a4","team":"ledvica","author":"ana","revision":"main","accepted_at":8,"written":["/ledvica/queue"],"withdrawn":[]}
         /ledvica/board = {"kind":"service","description":""}
--- a/components/ledger/tests/racing_operators.rs
+++ b/components/ledger/tests/racing_operators.rs
@@ -1,4 +1,4 @@
-//! Random sessions of racing operators over a failing platform, against a naive model.
+//! Random sessions of concurrent operators on a failing platform, compared with a naive model.
 
 mod common;
 mod naive;
@@ -33,7 +33,7 @@
 struct SubmitStep {
     operator: usize,
     team: usize,
-    /// How far the base lags behind the newest.
+    /// Number of versions by which the base is behind the newest one.
     lag: u64,
     id: IdChoice,
     writes: Vec<(usize, Option<usize>)>,
@@ -65,7 +65,7 @@
     let lag = prop_oneof![6 => Just(0_u64), 1 => 1_u64..4];
     let write = (0_usize..20, prop::option::weighted(0.8, 0_usize..4));
     let writes = prop::collection::vec(write, 1..4);
-    // Most answers that matter are lost just before an outage, at a call of any number.
+    // Most of the relevant answers are lost just before an outage, at a call of any number.
     let lost =
         prop::sample::select(vec![CallFault::LoseAnswer, CallFault::LoseRequest, CallFault::Delay]);
     let outage = (0_usize..12, lost).prop_map(|(calls, lost)| {
@@ -97,7 +97,7 @@
 struct Session {
     platform: Arc<FakeStore>,
     operators: Vec<Operator>,
-    asked: Vec<ChangeRequest>,
+    requests: Vec<ChangeRequest>,
     answers: Vec<(ChangeRequest, Answer)>,
     model: NaiveModel,
 }
@@ -110,15 +110,15 @@
             Operator { acceptor: make(&store), store, running: None }
         };
         let operators = (0..OPERATORS).map(operator).collect();
-        let (asked, answers, model) = (Vec::new(), Vec::new(), NaiveModel::default());
-        Self { platform, operators, asked, answers, model }
+        let (requests, answers, model) = (Vec::new(), Vec::new(), NaiveModel::default());
+        Self { platform, operators, requests, answers, model }
     }
 
     async fn run(&mut self, steps: &[Step]) -> Result<(), String> {
         for step in steps {
             match step {
                 Step::Submit(step) if self.operators[step.operator].running.is_none() => {
-                    self.submit(step.operator, self.compose(step), &step.faults).await?;
+                    self.submit(step.operator, self.make_request(step), &step.faults).await?;
                 }
                 Step::Submit(_) => {}
                 Step::Resume(operator) => self.resume(*operator).await,
@@ -126,20 +126,20 @@
             }
             self.check_history().await?;
         }
-        self.heal().await
+        self.resolve_all().await
     }
 
-    fn compose(&self, step: &SubmitStep) -> ChangeRequest {
-        let earlier = |index: usize| self.asked[index % self.asked.len()].clone();
-        let author = format!("c{}", self.asked.len());
+    fn make_request(&self, step: &SubmitStep) -> ChangeRequest {
+        let earlier = |index: usize| self.requests[index % self.requests.len()].clone();
+        let author = format!("c{}", self.requests.len());
         let change_id = match step.id {
-            IdChoice::Again(index) if !self.asked.is_empty() => return earlier(index),
-            IdChoice::Reuse(index) if !self.asked.is_empty() => earlier(index).change_id,
+            IdChoice::Again(index) if !self.requests.is_empty() => return earlier(index),
+            IdChoice::Reuse(index) if !self.requests.is_empty() => earlier(index).change_id,
             _ => author.clone(),
         };
         let team = ["one", "two"][step.team];
         let base = self.model.team_version(team).saturating_sub(step.lag);
-        let writes = step.writes.iter().map(|(slot, body)| some_setting(team, *slot, *body));
+        let writes = step.writes.iter().map(|(slot, body)| make_setting(team, *slot, *body));
         let writes: BTreeMap<_, _> = writes.collect();
         let request = request(&change_id, &author, base, &[("/one/none", None)]);
         ChangeRequest { team: team.to_owned(), writes, ..request }
@@ -152,25 +152,25 @@
         faults: &[CallFault],
     ) -> Result<(), String> {
         let is_idle = |operator: &Operator| operator.running.is_none();
-        let is_alone = self.operators.iter().all(is_idle) && faults.is_empty();
-        let verdict = self.model.verdict(&request);
-        self.asked.push(request.clone());
+        let is_undisturbed = self.operators.iter().all(is_idle) && faults.is_empty();
+        let expected_label = self.model.expected_label(&request);
+        self.requests.push(request.clone());
         let running = &mut self.operators[operator];
         running.store.plan(faults);
         let acceptor = Arc::clone(&running.acceptor);
-        let asked = request.clone();
-        let task = tokio::spawn(async move { acceptor.accept(&asked).await });
+        let submitted = request.clone();
+        let task = tokio::spawn(async move { acceptor.accept(&submitted).await });
         running.running = Some((request, task));
         self.resume(operator).await;
         match self.answers.last() {
-            Some((_, answer)) if is_alone && naive::word(answer) != verdict => {
-                Err(format!("answered {answer:?} where the model says {verdict}"))
+            Some((_, answer)) if is_undisturbed && naive::label(answer) != expected_label => {
+                Err(format!("answered {answer:?} where the model expects {expected_label}"))
             }
             _ => Ok(()),
         }
     }
 
-    /// Runs the operator's submit until it ends or is suspended again.
+    /// Runs the submit of an operator until it ends or is suspended again.
     async fn resume(&mut self, operator: usize) {
         let operator = &mut self.operators[operator];
         operator.store.resume();
@@ -193,7 +193,7 @@
             return Err(format!("accepted records are gone or changed: {history:?}"));
         }
         for record in &history[known..] {
-            self.model.follow(record, &self.asked)?;
+            self.model.apply_record(record, &self.requests)?;
         }
         match snapshot.is_intact() && snapshot.trees == self.model.trees {
             true => self.check_answers(),
@@ -207,7 +207,7 @@
                 (Ok(record), version) if version != Some(record.version) => {
                     return Err(format!("not in force, though answered {answer:?}"));
                 }
-                (Err(_), Some(_)) if !self.may_be_in(request) => {
+                (Err(_), Some(_)) if !self.may_be_in_force(request) => {
                     return Err(format!("in force, though answered {answer:?}"));
                 }
                 _ => {}
@@ -216,8 +216,9 @@
         Ok(())
     }
 
-    /// Tells whether any submit of the request still runs, or was accepted or left open.
-    fn may_be_in(&self, request: &ChangeRequest) -> bool {
+    /// Returns whether any submit of the request is still running, was accepted or has an unknown
+    /// outcome.
+    fn may_be_in_force(&self, request: &ChangeRequest) -> bool {
         let mut running = self.operators.iter().filter_map(|operator| operator.running.as_ref());
         let is_open = |answer: &Answer| answer.is_ok() || is_unknown(answer);
         let mut answers = self.answers.iter();
@@ -225,8 +226,8 @@
             || answers.any(|(other, answer)| other == request && is_open(answer))
     }
 
-    /// Ends all faults, lets everything late arrive, and has each open question answered.
-    async fn heal(&mut self) -> Result<(), String> {
+    /// Ends all faults, lets all delayed calls arrive, and resolves each unknown outcome.
+    async fn resolve_all(&mut self) -> Result<(), String> {
         for operator in 0..OPERATORS {
             self.operators[operator].store.plan(&[]);
             self.resume(operator).await;
@@ -239,7 +240,7 @@
             self.check_history().await?;
         }
         let reader = quick_ledger(&FaultStore::new(&self.platform));
-        for id in self.asked.iter().map(|request| &request.change_id).collect::<BTreeSet<_>>() {
+        for id in self.requests.iter().map(|request| &request.change_id).collect::<BTreeSet<_>>() {
             let known = self.model.accepted.iter().find(|request| request.change_id == *id);
             let known = known.and_then(|request| self.model.version_of(request));
             let found = reader.outcome(id).await.map_err(|err| err.to_string())?;
@@ -255,8 +256,9 @@
     matches!(answer, Err(SubmitError::Unknown { .. }))
 }
 
-/// Gives one of a few settings that clash, dangle and cross teams as real ones do.
-fn some_setting(team: &str, slot: usize, body: Option<usize>) -> (String, Option<SettingBody>) {
+/// Returns one of a few settings that conflict, refer to missing services and refer to other
+/// teams.
+fn make_setting(team: &str, slot: usize, body: Option<usize>) -> (String, Option<SettingBody>) {
     let other = if team == "one" { "two" } else { "one" };
     let named = format!("/{}/service", [team, other][body.unwrap_or_default() % 2]);
     match slot {
@@ -268,7 +270,7 @@
     }
 }
 
-/// Runs random sessions and gives the first broken property, or how often each answer was given.
+/// Runs random sessions. Returns how often each answer was given, or the first violated property.
 fn run_sessions(
     make: impl Fn(&Arc<FaultStore>) -> Arc<dyn Acceptor>,
 ) -> Result<BTreeMap<String, usize>, String> {
@@ -287,8 +289,8 @@
         let mut session = Session::new(&make);
         let outcome = runtime.block_on(session.run(&steps));
         for (_, answer) in &session.answers {
-            let word = naive::word(answer).split(' ').next().unwrap_or_default().to_owned();
-            *tally.borrow_mut().entry(word).or_default() += 1;
+            let label = naive::label(answer).split(' ').next().unwrap_or_default().to_owned();
+            *tally.borrow_mut().entry(label).or_default() += 1;
         }
         let chunks = session.model.accepted.len() / CHUNK_RECORDS;
         *tally.borrow_mut().entry("chunks".to_owned()).or_default() += chunks;
@@ -301,20 +303,20 @@
     }
 }
 
-/// Two operators change the same settings, answers get lost and a daemon is paused between
-/// reading and writing. Someone's accepted change is gone, or is in force twice, or is in force
-/// though its operator was told otherwise. The naive ways show this in the same run.
+/// Two operators change the same settings, answers are lost, and a daemon is paused between its
+/// read and its write. An accepted change may then be missing, be in force twice, or be in force
+/// although its operator was told otherwise. The naive implementations show this in the same run.
 #[test]
 fn nothing_lost() {
-    let tally = run_sessions(|store| quick_ledger(store)).expect("all properties hold");
+    let tally = run_sessions(|store| quick_ledger(store)).expect("no property is violated");
     println!("answers: {tally:?}");
-    let words = ["accepted", "raced", "invalid", "malformed", "reused", "not-accepted", "unknown"];
-    assert!(words.iter().all(|word| tally.contains_key(*word)), "{tally:?}");
+    let labels = ["accepted", "raced", "invalid", "malformed", "reused", "not-accepted", "unknown"];
+    assert!(labels.iter().all(|label| tally.contains_key(*label)), "{tally:?}");
     for (is_conditional, expected) in [(false, "gone or changed"), (true, "in force, though")] {
         let make = |store: &Arc<FaultStore>| -> Arc<dyn Acceptor> {
             Arc::new(NaiveLedger { store: Arc::clone(store), is_conditional })
         };
-        let reason = run_sessions(make).expect_err("the naive way breaks a property");
+        let reason = run_sessions(make).expect_err("the naive implementation violates a property");
         println!("naive, conditional {is_conditional}: {reason}");
         assert!(reason.contains(expected), "{reason}");
     }
--- a/components/ledger/tests/request_bounds.rs
+++ b/components/ledger/tests/request_bounds.rs
@@ -1,4 +1,4 @@
-//! Requests that are refused whatever the configuration, and values that would grow too large.
+//! Requests that are invalid for any configuration, and values that would be too large.
 
 mod common;
 
@@ -42,15 +42,15 @@
         answers += &format!("{answer}\n");
     }
     expect![[r#"
-        bad change id; allowed: 1 to 64 of A-Z a-z 0-9 - _ . beginning with none of - _ .
-        bad change id; allowed: 1 to 64 of A-Z a-z 0-9 - _ . beginning with none of - _ .
-        bad change id; allowed: 1 to 64 of A-Z a-z 0-9 - _ . beginning with none of - _ .
-        bad change id; allowed: 1 to 64 of A-Z a-z 0-9 - _ . beginning with none of - _ .
-        bad author; allowed: 1 to 200 bytes without control characters
-        bad revision; allowed: 1 to 200 bytes without control characters
+        invalid change id; allowed: 1 to 64 of A-Z a-z 0-9 - _ . starting with none of - _ .
+        invalid change id; allowed: 1 to 64 of A-Z a-z 0-9 - _ . starting with none of - _ .
+        invalid change id; allowed: 1 to 64 of A-Z a-z 0-9 - _ . starting with none of - _ .
+        invalid change id; allowed: 1 to 64 of A-Z a-z 0-9 - _ . starting with none of - _ .
+        invalid author; allowed: 1 to 200 bytes without control characters
+        invalid revision; allowed: 1 to 200 bytes without control characters
         the change writes nothing
-        the change has 1001 writes; at most 1000
-        the change makes a record of 64957 bytes; at most 49152
+        the change has 1001 writes; at most 1000 are allowed
+        the record of the change has 64957 bytes; at most 49152 are allowed
         base 1 is newer than the newest version 0
         path /two/value is outside the subtree of team one
         path `/one/../two/value` has the bad segment `..`; allowed: a-z 0-9 - _ .
@@ -60,8 +60,8 @@
     assert_eq!(store.take_counts().1, 0, "nothing was written");
 }
 
-/// A team's subtree grows change by change. The platform would refuse the value that is too large
-/// after the operator had been kept waiting, so it is refused here with its size.
+/// The subtree of a team grows with each change. The platform would reject a value that is too
+/// large only after the operator has waited, so the ledger rejects it first and reports its size.
 #[tokio::test]
 async fn large_subtree() {
     let ledger = quick_ledger(&FaultStore::new(&Arc::default()));
