--- a/components/claim/src/book.rs
+++ b/components/claim/src/book.rs
@@ -1,4 +1,4 @@
-//! Claims from many requests at once, committed in groups.
+//! The claims of one daemon, committed in batches.
 
 use std::{
     collections::HashMap,
@@ -13,32 +13,33 @@
     commit::{PartitionWriter, partition_of},
     error::ClaimError,
     head::{AttemptId, ClaimKey},
-    partition::{ClaimVerdict, ClaimWish},
+    partition::{ClaimOperation, ClaimVerdict},
     settings::ClaimSettings,
 };
 
 type ClaimResult = Result<ClaimVerdict, ClaimError>;
 
-struct QueuedWish {
-    wish: ClaimWish,
-    answer: oneshot::Sender<ClaimResult>,
+/// An operation with the channel for its result.
+struct QueuedOperation {
+    operation: ClaimOperation,
+    reply: oneshot::Sender<ClaimResult>,
 }
 
-type WishSender = mpsc::Sender<QueuedWish>;
+type OperationSender = mpsc::Sender<QueuedOperation>;
 
-/// Claims of one daemon.
+/// Claims requests for the guards of one daemon.
 ///
-/// Wishes of one partition that arrive while a commit is under way go into the next one together,
-/// so that a daemon writes at most one commit at a time to each partition, however many requests
-/// it guards.
+/// Operations of one partition that arrive during a commit go into the next one together. A daemon
+/// thus writes at most one commit at a time to each partition, however many requests it guards.
 pub struct ClaimBook {
     store: SharedStore,
     settings: ClaimSettings,
-    writers: Mutex<HashMap<u32, WishSender>>,
+    writers: Mutex<HashMap<u32, OperationSender>>,
 }
 
 impl ClaimBook {
-    /// Makes a book over the platform. Needs a tokio runtime from the first claim on.
+    /// Creates an instance that uses the platform. Requires a tokio runtime from the first claim
+    /// on.
     pub fn new(store: SharedStore, settings: ClaimSettings) -> Self {
         Self { store, settings, writers: Mutex::default() }
     }
@@ -47,89 +48,99 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`ClaimError`] when the platform is away or too slow. The attempt is then not
-    /// granted, must not run, and needs no [`ClaimBook::give_back`].
+    /// Returns a [`ClaimError`] if the platform is unavailable or too slow. The attempt is then
+    /// not granted, must not run, and needs no [`ClaimBook::give_back`].
     pub async fn claim(&self, key: &ClaimKey, attempt: AttemptId) -> ClaimResult {
-        let result = self.submit(ClaimWish::Claim { key: key.clone(), attempt }).await;
+        let result = self.submit(ClaimOperation::Claim { key: key.clone(), attempt }).await;
         if result.is_err() {
-            // The claim may have landed all the same. Left there, it would answer every resend
-            // with "unknown" although nothing ran.
-            self.submit_later(ClaimWish::GiveBack { key: key.clone(), attempt });
+            // The claim may have taken effect nevertheless. If it stayed, every resend would be
+            // answered with "unknown" although nothing ran.
+            self.submit_in_background(ClaimOperation::Release { key: key.clone(), attempt });
         }
         result
     }
 
-    /// Records that the granted attempt ran and how it was answered. It returns at once; if the
-    /// record is lost, a resend is told "unknown" instead of the status.
+    /// Records that the granted attempt ran, and its status. Returns at once; if the record is
+    /// lost, a resend is answered with "unknown" instead of the status.
     pub fn ran(&self, key: &ClaimKey, attempt: AttemptId, status: u16) {
-        self.submit_later(ClaimWish::Ran { key: key.clone(), attempt, status });
+        self.submit_in_background(ClaimOperation::Ran { key: key.clone(), attempt, status });
     }
 
-    /// Gives a grant back because the attempt did not run and never will. It goes on when the
-    /// caller stops waiting for it.
+    /// Releases a grant because the attempt did not run and never will. The release continues if
+    /// the caller of this function stops waiting.
     pub async fn give_back(&self, key: &ClaimKey, attempt: AttemptId) {
-        if self.submit(ClaimWish::GiveBack { key: key.clone(), attempt }).await.is_err() {
-            log::info!("claim: a claim is not given back.");
+        if self.submit(ClaimOperation::Release { key: key.clone(), attempt }).await.is_err() {
+            log::info!("claim: a claim is not released.");
         }
     }
 
-    async fn submit(&self, wish: ClaimWish) -> ClaimResult {
+    /// Queues an operation for the writer of its partition and waits for the result.
+    async fn submit(&self, operation: ClaimOperation) -> ClaimResult {
         let unavailable = |reason: &str| ClaimError::Unavailable { reason: reason.to_owned() };
-        let (answer, answered) = oneshot::channel();
-        let sent = self.writer(wish_key(&wish)).try_send(QueuedWish { wish, answer });
-        sent.map_err(|_| unavailable("too many claims wait"))?;
-        answered.await.map_err(|_| unavailable("the writer ended"))?
+        let (reply, reply_receiver) = oneshot::channel();
+        let sent =
+            self.writer(operation_key(&operation)).try_send(QueuedOperation { operation, reply });
+        sent.map_err(|_| unavailable("too many claims are waiting"))?;
+        reply_receiver.await.map_err(|_| unavailable("the writer of the partition has ended"))?
     }
 
-    fn submit_later(&self, wish: ClaimWish) {
-        let (answer, _) = oneshot::channel();
-        if self.writer(wish_key(&wish)).try_send(QueuedWish { wish, answer }).is_err() {
-            log::info!("claim: an outcome is not recorded, too many claims wait.");
+    /// Queues an operation without waiting for its result.
+    fn submit_in_background(&self, operation: ClaimOperation) {
+        let (reply, _) = oneshot::channel();
+        if self
+            .writer(operation_key(&operation))
+            .try_send(QueuedOperation { operation, reply })
+            .is_err()
+        {
+            log::info!("claim: an outcome is not recorded: too many claims are waiting.");
         }
     }
 
-    fn writer(&self, key: &str) -> WishSender {
-        let number = partition_of(key, self.settings.partitions);
+    /// Returns the queue of the partition of a key, and starts its writer if there is none yet.
+    fn writer(&self, key: &str) -> OperationSender {
+        let partition = partition_of(key, self.settings.partitions);
         let mut writers = self.writers.lock().unwrap_or_else(PoisonError::into_inner);
-        let sender = writers.entry(number).or_insert_with(|| self.start_writer(number));
+        let sender = writers.entry(partition).or_insert_with(|| self.start_writer(partition));
         sender.clone()
     }
 
-    fn start_writer(&self, number: u32) -> WishSender {
-        let (sender, wishes) = mpsc::channel(self.settings.queue);
+    fn start_writer(&self, partition: u32) -> OperationSender {
+        let (sender, operations) = mpsc::channel(self.settings.max_queued);
         let (store, settings) = (self.store.clone(), self.settings.clone());
-        tokio::spawn(write_forever(store, settings, number, wishes));
+        tokio::spawn(run_writer(store, settings, partition, operations));
         sender
     }
 }
 
-async fn write_forever(
+/// Commits the queued operations of one partition in batches until the queue is closed.
+async fn run_writer(
     store: SharedStore,
     settings: ClaimSettings,
-    number: u32,
-    mut queue: mpsc::Receiver<QueuedWish>,
+    partition: u32,
+    mut queue: mpsc::Receiver<QueuedOperation>,
 ) {
     let mut writer = PartitionWriter::default();
     let mut batch = Vec::new();
-    while queue.recv_many(&mut batch, settings.batch).await > 0 {
-        let wishes: Vec<ClaimWish> = batch.iter().map(|queued| queued.wish.clone()).collect();
-        let result = writer.commit(&store, &settings, number, &wishes, unix_now()).await;
+    while queue.recv_many(&mut batch, settings.max_batch).await > 0 {
+        let operations: Vec<ClaimOperation> =
+            batch.iter().map(|queued| queued.operation.clone()).collect();
+        let result = writer.commit(&store, &settings, partition, &operations, unix_now()).await;
         if let Err(err) = &result {
-            log::warn!("claim: partition {number}: {err}.");
+            log::warn!("claim: partition {partition}: {err}.");
         }
         for (index, queued) in batch.drain(..).enumerate() {
             let verdict = result.as_ref().map(|verdicts| verdicts[index].clone());
-            // The request may have gone meanwhile. Its claim then stands without an outcome, and
-            // whoever dropped the request gives it back.
-            let _ = queued.answer.send(verdict.map_err(Clone::clone));
+            // The request may have been dropped meanwhile. Its claim then remains without an
+            // outcome, and whoever dropped the request releases it.
+            let _ = queued.reply.send(verdict.map_err(Clone::clone));
         }
     }
 }
 
-fn wish_key(wish: &ClaimWish) -> &ClaimKey {
-    match wish {
-        ClaimWish::Claim { key, .. }
-        | ClaimWish::Ran { key, .. }
-        | ClaimWish::GiveBack { key, .. } => key,
+fn operation_key(operation: &ClaimOperation) -> &ClaimKey {
+    match operation {
+        ClaimOperation::Claim { key, .. }
+        | ClaimOperation::Ran { key, .. }
+        | ClaimOperation::Release { key, .. } => key,
     }
 }
--- a/components/claim/src/commit.rs
+++ b/components/claim/src/commit.rs
@@ -1,4 +1,8 @@
-//! Committing a batch of wishes to a partition's head.
+//! Commits of operations to the head of a partition.
+//!
+//! The head is replaced under a condition on its revision. A commit that lost against another
+//! writer, or whose answer was lost, is repeated on the head that is read again, so that a grant
+//! is never given to two attempts.
 
 use std::time::Duration;
 
@@ -10,127 +14,135 @@
 use crate::{
     error::ClaimError,
     head::{ClaimEntry, PartitionHead},
-    partition::{ClaimVerdict, ClaimWish, LiveClaims},
+    partition::{ClaimOperation, ClaimVerdict, LiveClaims},
     settings::ClaimSettings,
 };
 
-/// A shorter pause than this is below what the runtime's timers keep.
-const MIN_LINGER: Duration = Duration::from_millis(1);
-/// Doublings of the pause after a lost try; a claim has to be answered within a second or two.
+/// Shortest pause between commits; shorter ones are below the resolution of the timers of the
+/// runtime.
+const MIN_COMMIT_PAUSE: Duration = Duration::from_millis(1);
+/// Largest number of doublings of the delay after a lost try; a claim has to be answered within a
+/// second or two.
 const MAX_DOUBLINGS: u32 = 6;
 
-/// A partition as one writer knows it, with the revision of the head it was read from.
+/// A cached partition with the revision of the head it was read from.
 #[derive(Default)]
 pub(crate) struct PartitionWriter {
-    known: Option<(Option<Revision>, LiveClaims)>,
-    /// Pause before the next commit, zero while the platform carries every one.
-    linger: Duration,
+    cached: Option<(Option<Revision>, LiveClaims)>,
+    /// Pause before the next commit; zero while the platform accepts every commit.
+    commit_pause: Duration,
 }
 
 impl PartitionWriter {
-    /// Commits wishes together and gives a verdict for each.
+    /// Commits operations together and returns a verdict for each.
     ///
     /// # Errors
     ///
-    /// Returns a [`ClaimError`] when no try came through; nothing may run then. A claim may still
-    /// stand in the platform, which costs its key an "unknown" and never a second run.
+    /// Returns a [`ClaimError`] if no try succeeded; no request may run then. A claim may still
+    /// remain in the platform, which causes the answer "unknown" for its key, but never a second
+    /// run.
     pub(crate) async fn commit(
         &mut self,
         store: &SharedStore,
         settings: &ClaimSettings,
         number: u32,
-        wishes: &[ClaimWish],
+        operations: &[ClaimOperation],
         now: UnixMillis,
     ) -> Result<Vec<ClaimVerdict>, ClaimError> {
         let prefix = format!("{}claims/{number}", settings.key_prefix);
-        let mut last = ClaimError::Unavailable { reason: "no try".to_owned() };
-        for attempt in 0..settings.tries {
-            if !self.linger.is_zero() {
-                tokio::time::sleep(linger_pause(self.linger)).await;
+        let mut last_error = ClaimError::Unavailable { reason: "no try was made".to_owned() };
+        for try_index in 0..settings.max_tries {
+            if !self.commit_pause.is_zero() {
+                tokio::time::sleep(jittered_pause(self.commit_pause)).await;
             }
-            let tried = self.try_commit(store, settings, &prefix, wishes, now).await;
-            match tried {
+            let outcome = self.try_commit(store, settings, &prefix, operations, now).await;
+            match outcome {
                 Ok(verdicts) => {
-                    self.shrink_linger();
+                    self.shrink_commit_pause();
                     return Ok(verdicts);
                 }
-                // Nothing was done, and asking again at once would take from the rate that the
-                // other partitions need.
+                // The commit had no effect, and repeating it at once would use up the rate that
+                // the other partitions need.
                 Err(ClaimError::Throttled) => {
-                    self.grow_linger(settings.max_linger);
-                    last = ClaimError::Throttled;
+                    self.grow_commit_pause(settings.max_commit_pause);
+                    last_error = ClaimError::Throttled;
                     continue;
                 }
-                // A commit whose answer was lost may have landed or may yet land. Reading the head
-                // again and committing the same wishes under its revision settles it either way:
-                // attempts that are in the head are granted, and of the two writes at one revision
-                // the platform takes one.
+                // A commit whose answer was lost may have taken effect or may still do so. Reading
+                // the head again and committing the same operations under its revision resolves
+                // both cases: attempts in the head are granted, and of two writes under one
+                // revision the platform accepts one.
                 Err(err @ ClaimError::Unavailable { .. }) => {
-                    self.known = None;
-                    last = err;
+                    self.cached = None;
+                    last_error = err;
                 }
                 Err(err) => return Err(err),
             }
-            tokio::time::sleep(lost_pause(settings, attempt)).await;
+            tokio::time::sleep(lost_try_delay(settings, try_index)).await;
         }
-        Err(last)
+        Err(last_error)
     }
 
-    fn grow_linger(&mut self, max_linger: Duration) {
-        self.linger = (self.linger * 2).clamp(max_linger / 100, max_linger);
+    fn grow_commit_pause(&mut self, max_commit_pause: Duration) {
+        self.commit_pause = (self.commit_pause * 2).clamp(max_commit_pause / 100, max_commit_pause);
     }
 
-    fn shrink_linger(&mut self) {
-        self.linger = self.linger * 19 / 20;
-        if self.linger < MIN_LINGER {
-            self.linger = Duration::ZERO;
+    fn shrink_commit_pause(&mut self) {
+        self.commit_pause = self.commit_pause * 19 / 20;
+        if self.commit_pause < MIN_COMMIT_PAUSE {
+            self.commit_pause = Duration::ZERO;
         }
     }
 
+    /// Tries once to apply the operations to the partition and to write the result.
     async fn try_commit(
         &mut self,
         store: &SharedStore,
         settings: &ClaimSettings,
         prefix: &str,
-        wishes: &[ClaimWish],
+        operations: &[ClaimOperation],
         now: UnixMillis,
     ) -> Result<Vec<ClaimVerdict>, ClaimError> {
-        let known = self.known.take();
-        let is_cached = known.is_some();
-        let (revision, mut after) = match known {
-            Some(known) => known,
+        let cached = self.cached.take();
+        let is_cached = cached.is_some();
+        let (revision, mut claims) = match cached {
+            Some(cached) => cached,
             None => read_partition(store, prefix).await?,
         };
-        let before = after.head.clone();
-        let decide = |wish| after.decide(wish, now, settings.retention);
-        let verdicts: Vec<ClaimVerdict> = wishes.iter().map(decide).collect();
-        // What this writer remembers may be behind: another one may have learnt meanwhile that the
-        // request ran. A refusal is worth one read, so that it says as much as is known.
+        let before = claims.head.clone();
+        let apply = |operation| claims.apply(operation, now, settings.retention);
+        let verdicts: Vec<ClaimVerdict> = operations.iter().map(apply).collect();
+        // The cache may be outdated: another writer may have recorded meanwhile that the request
+        // ran. Before a refusal, one read is worthwhile, so that the answer says as much as is
+        // known.
         if is_cached && verdicts.iter().any(|verdict| *verdict != ClaimVerdict::Granted) {
-            return Err(ClaimError::Unavailable { reason: "knowledge is old".to_owned() });
+            return Err(ClaimError::Unavailable {
+                reason: "the cached partition may be outdated".to_owned(),
+            });
         }
-        // Nothing new to write, so every grant among the verdicts was committed before.
-        if after.head == before && revision.is_some() {
-            self.known = Some((revision, after));
+        // There is nothing to write, so every grant among the verdicts was committed before.
+        if claims.head == before && revision.is_some() {
+            self.cached = Some((revision, claims));
             return Ok(verdicts);
         }
-        if let Some(entries) = after.overflow(now, settings.retention, settings.tail_claims) {
+        if let Some(entries) = claims.overflow(now, settings.retention, settings.tail_claims) {
             let hash = write_chunk(store, prefix, &entries).await?;
-            after.move_to_chunk(&entries, hash);
+            claims.move_to_chunk(&entries, hash);
         }
-        let value = encode(prefix, &after.head)?;
+        let value = encode(prefix, &claims.head)?;
         let written = match revision {
             Some(revision) => store.replace(prefix, revision, value).await?,
             None => store.create(prefix, value).await?,
         };
-        for chunk in before.chunks.iter().filter(|chunk| !after.head.chunks.contains(chunk)) {
+        for chunk in before.chunks.iter().filter(|chunk| !claims.head.chunks.contains(chunk)) {
             delete_chunk(store, &chunk_key(prefix, &chunk.hash)).await;
         }
-        self.known = Some((Some(written), after));
+        self.cached = Some((Some(written), claims));
         Ok(verdicts)
     }
 }
 
+/// Reads the head and the chunks of a partition, which are empty before the first commit.
 async fn read_partition(
     store: &SharedStore,
     prefix: &str,
@@ -142,8 +154,9 @@
     let mut chunks = Vec::with_capacity(head.chunks.len());
     for chunk in &head.chunks {
         let key = chunk_key(prefix, &chunk.hash);
-        // Absent only if another writer has expired it meanwhile: then the head moved on and the
-        // conditional write will fail, so that what is missing here cannot grant anything.
+        // A chunk is missing only if another writer has expired it meanwhile. The head has then
+        // changed and the conditional write will fail, so that the missing claims cannot lead to a
+        // grant.
         if let Some(object) = store.get(&key).await? {
             chunks.push(decode::<Vec<ClaimEntry>>(&key, &object.value)?);
         }
@@ -151,8 +164,8 @@
     Ok((Some(object.revision), LiveClaims::new(head, chunks)))
 }
 
-/// Writes a chunk before the head that names it and gives its hash. A chunk that is there already
-/// has this very content: it was written before a commit that failed or whose answer was lost.
+/// Writes a chunk before the head that refers to it, and returns its hash. An existing chunk has
+/// the same content: it was written before a commit that failed or whose answer was lost.
 async fn write_chunk(
     store: &SharedStore,
     prefix: &str,
@@ -166,15 +179,16 @@
     }
 }
 
+/// Deletes a chunk that no head refers to any more.
 async fn delete_chunk(store: &SharedStore, key: &str) {
     let deleted = match store.get(key).await {
         Ok(Some(object)) => store.delete(key, object.revision).await,
         Ok(None) => Ok(()),
         Err(err) => Err(err),
     };
-    // A chunk left over holds expired claims and a few kilobytes; nothing refers to it.
+    // A remaining chunk holds expired claims and a few kilobytes; nothing refers to it.
     if let Err(err) = deleted {
-        log::info!("claim: chunk {key} is left over: {err}.");
+        log::info!("claim: chunk {key} is not deleted: {err}.");
     }
 }
 
@@ -192,20 +206,21 @@
         .map_err(|err| ClaimError::Corrupt { key: key.to_owned(), reason: err.to_string() })
 }
 
-/// Spreads the pause over half to one and a half of it, so that partitions do not write in step.
-fn linger_pause(linger: Duration) -> Duration {
-    draw_around(linger, &mut rand::rng())
+/// Returns a random pause of half to one and a half times the given one, so that partitions do not
+/// write in step.
+fn jittered_pause(commit_pause: Duration) -> Duration {
+    draw_around(commit_pause, &mut rand::rng())
 }
 
-/// Gives how long to stay away after tries that lost against another writer: on average the
-/// setting, doubled from try to try.
-fn lost_pause(settings: &ClaimSettings, attempt: u32) -> Duration {
-    let base = settings.backoff * 2;
+/// Returns a random delay after tries that lost against another writer: on average the setting,
+/// doubled with each further try.
+fn lost_try_delay(settings: &ClaimSettings, try_index: u32) -> Duration {
+    let base = settings.retry_delay * 2;
     let cap = base * (1 << MAX_DOUBLINGS);
-    BackoffSettings { base, cap }.delay(attempt, &mut rand::rng())
+    BackoffSettings { base, cap }.delay(try_index, &mut rand::rng())
 }
 
-/// Gives the partition of a key; every daemon gives the same.
+/// Returns the partition of a key, which is the same on every daemon.
 pub(crate) fn partition_of(key: &str, partitions: u32) -> u32 {
     let digits = content_hash(key.as_bytes());
     let number = u32::from_str_radix(&digits[..8], 16).unwrap_or(0);
--- a/components/claim/src/error.rs
+++ b/components/claim/src/error.rs
@@ -1,26 +1,26 @@
-//! Failures of claiming.
+//! Errors of claiming.
 
 use sk_store::{ObjectKey, StoreError};
 use thiserror::Error;
 
-/// Why a claim has no verdict. The request was not granted and must not run.
+/// Reason why a claim has no verdict. The request was not granted and must not run.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ClaimError {
-    /// The platform is away, too slow or contended.
+    /// The platform is unavailable, too slow or under contention.
     #[error("claims are unavailable: {reason}")]
     Unavailable {
-        /// What was seen.
+        /// Error of the platform, or the reason why no call was made.
         reason: String,
     },
-    /// The platform refuses calls over its rate.
-    #[error("the platform refuses claims over its rate")]
+    /// The platform rejects calls above its rate.
+    #[error("the platform rejects claims above its rate")]
     Throttled,
-    /// The platform holds something that is not a partition of claims.
-    #[error("object {key} cannot be read: {reason}")]
+    /// The platform holds data that is not a partition of claims.
+    #[error("object {key} cannot be decoded: {reason}")]
     Corrupt {
         /// Key of the object.
         key: ObjectKey,
-        /// What is wrong with it.
+        /// Error of the decoder.
         reason: String,
     },
 }
--- a/components/claim/src/head.rs
+++ b/components/claim/src/head.rs
@@ -1,67 +1,70 @@
-//! A partition's head and chunks, as the platform holds them.
+//! The head and the chunks of a partition, as stored in the platform.
 
 use serde::{Deserialize, Serialize};
 use sk_model::{ContentHash, UnixMillis, content_hash};
 
-/// Hash of what identifies a request: its service and its idempotency key.
+/// Hash of the service and the idempotency key of a request.
 pub type ClaimKey = String;
-/// Identifier of one attempt to run a request, drawn at random by the guard that attempts it.
+/// Random identifier of one attempt to run a request, drawn by the guard.
 pub type AttemptId = u64;
 
-/// Half a SHA-256: a collision among a billion keys stays below one in 10^20.
+/// Hex digits of a claim key. With half of a SHA-256 hash, the probability of a collision among a
+/// billion keys is below one in 10^20.
 const KEY_DIGITS: usize = 32;
 
-/// Makes the claim key of a request.
+/// Returns the claim key of a request.
 pub fn claim_key(service: &str, idempotency_key: &str) -> ClaimKey {
     let mut hash = content_hash(format!("{service}\n{idempotency_key}").as_bytes());
     hash.truncate(KEY_DIGITS);
     hash
 }
 
-/// What is known of the one attempt that was granted.
+/// State of the granted attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum ClaimState {
-    /// Granted; whether it ran is not known.
+    /// Granted; whether it ran is unknown.
     #[serde(rename = "c")]
     Claimed,
-    /// It ran and was answered with this status.
+    /// It ran, and this HTTP status was returned.
     #[serde(rename = "r")]
     Ran(u16),
 }
 
-/// One claim.
+/// A granted claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ClaimEntry {
     /// Key of the request.
     #[serde(rename = "k")]
     pub key: ClaimKey,
-    /// The attempt that was granted.
+    /// Attempt that was granted.
     #[serde(rename = "a")]
     pub attempt: AttemptId,
-    /// What is known of it.
+    /// State of the attempt.
     #[serde(rename = "s")]
     pub state: ClaimState,
-    /// When it was granted, on the writer's clock.
+    /// Time of the grant on the clock of the writer.
     #[serde(rename = "t")]
     pub granted_at: UnixMillis,
 }
 
-/// Names an immutable chunk of older claims.
+/// Reference to an immutable chunk of older claims.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ChunkRef {
-    /// Hash of the chunk's content, which is its key: writers with different chunks never meet.
+    /// Hash of the content, which is part of the key: writers with different chunks never use the
+    /// same key.
     pub hash: ContentHash,
-    /// The newest claim in it.
+    /// Time of the newest grant in the chunk.
     pub newest_at: UnixMillis,
 }
 
-/// The head of a partition. Replacing it under a condition on its revision is the only way a
-/// claim is granted, so two writers can never both grant one key.
+/// The head of a partition. A claim is granted only by replacing the head under a condition on its
+/// revision, so two writers can never both grant one key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct PartitionHead {
-    /// Chunks that hold claims not yet expired, oldest first.
+    /// Chunks with claims that have not expired, oldest first.
     pub chunks: Vec<ChunkRef>,
-    /// Claims not yet moved to a chunk, oldest first. An entry here goes before one in a chunk.
+    /// Claims that have not moved to a chunk, oldest first. An entry here overrides one in a
+    /// chunk.
     pub tail: Vec<ClaimEntry>,
 }
--- a/components/claim/src/lib.rs
+++ b/components/claim/src/lib.rs
@@ -1,8 +1,8 @@
-//! Claims on requests that may not be repeated, kept in the platform.
+//! Claims on requests that may run at most once, stored in the platform.
 //!
-//! Before a guard passes such a request on, it claims the request's key. Of all attempts with one
-//! key, wherever they arrive, at most one is granted, and only the granted one may run. See
-//! `docs/design/claims.md` for the ways weighed and the rates each carries.
+//! Before a guard forwards such a request, it claims the key of the request. Of all attempts with
+//! one key, wherever they arrive, at most one is granted, and only the granted one may run. See
+//! `docs/design/claims.md` for the alternatives considered and the rates that each supports.
 
 mod book;
 mod commit;
--- a/components/claim/src/partition.rs
+++ b/components/claim/src/partition.rs
@@ -1,4 +1,5 @@
-//! All live claims of one partition, and what a batch of requests does to them. No I/O.
+//! The claims of one partition that have not expired, and the effect of operations on them. No
+//! I/O.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -6,29 +7,30 @@
 
 use crate::head::{AttemptId, ChunkRef, ClaimEntry, ClaimKey, ClaimState, PartitionHead};
 
-/// What became of a claim.
+/// Decision on a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimVerdict {
-    /// This attempt, and no other ever, may run the request.
+    /// This attempt and no other may run the request.
     Granted,
-    /// Another attempt ran it and was answered with this status.
+    /// Another attempt ran, and this HTTP status was returned.
     AlreadyRan(u16),
-    /// Another attempt was granted; whether it ran is not known.
+    /// Another attempt was granted; whether it ran is unknown.
     AlreadyClaimed,
 }
 
-/// A wish concerning one key.
+/// An operation on one key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum ClaimWish {
-    /// To be granted.
+pub(crate) enum ClaimOperation {
+    /// Requests the grant for an attempt.
     Claim { key: ClaimKey, attempt: AttemptId },
-    /// To record that the granted attempt ran.
+    /// Records that the granted attempt ran.
     Ran { key: ClaimKey, attempt: AttemptId, status: u16 },
-    /// To give a grant back because the attempt did not run and never will.
-    GiveBack { key: ClaimKey, attempt: AttemptId },
+    /// Releases a grant because the attempt did not run and never will.
+    Release { key: ClaimKey, attempt: AttemptId },
 }
 
-/// Claims by key. A claim in the tail hides one in a chunk; a given-back one hides it as absent.
+/// Claims by key. A claim in the tail overrides one in a chunk; a released one overrides it as
+/// absent.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LiveClaims {
     pub(crate) head: PartitionHead,
@@ -44,31 +46,33 @@
         Self { head, chunked }
     }
 
+    /// Returns the claim on a key unless it has expired.
     fn find(&self, key: &str, now: UnixMillis, retention: Duration) -> Option<&ClaimEntry> {
         let is_live = |entry: &&ClaimEntry| entry.granted_at + millis(retention) > now;
-        let in_tail = self.head.tail.iter().rev().find(|entry| entry.key == key);
-        in_tail.or_else(|| self.chunked.get(key)).filter(is_live)
+        let tail_entry = self.head.tail.iter().rev().find(|entry| entry.key == key);
+        tail_entry.or_else(|| self.chunked.get(key)).filter(is_live)
     }
 
-    /// Decides on one wish and changes the head by it. Idempotent: after a commit whose answer was
-    /// lost, the same wish on the head that was read again gives the same verdict.
-    pub(crate) fn decide(
+    /// Applies one operation to the head and returns the verdict. It is idempotent: after a commit
+    /// whose answer was lost, the same operation on the newly read head returns the same verdict.
+    pub(crate) fn apply(
         &mut self,
-        wish: &ClaimWish,
+        operation: &ClaimOperation,
         now: UnixMillis,
         retention: Duration,
     ) -> ClaimVerdict {
-        match wish {
-            ClaimWish::Claim { key, attempt } => self.claim(key, *attempt, now, retention),
-            ClaimWish::Ran { key, attempt, status } => {
-                self.settle(key, *attempt, Some(ClaimState::Ran(*status)), now, retention)
+        match operation {
+            ClaimOperation::Claim { key, attempt } => self.claim(key, *attempt, now, retention),
+            ClaimOperation::Ran { key, attempt, status } => {
+                self.update_claim(key, *attempt, Some(ClaimState::Ran(*status)), now, retention)
             }
-            ClaimWish::GiveBack { key, attempt } => {
-                self.settle(key, *attempt, None, now, retention)
+            ClaimOperation::Release { key, attempt } => {
+                self.update_claim(key, *attempt, None, now, retention)
             }
         }
     }
 
+    /// Grants the claim to an attempt, unless another attempt was granted before.
     fn claim(
         &mut self,
         key: &ClaimKey,
@@ -84,15 +88,16 @@
             Some(_) => return ClaimVerdict::AlreadyClaimed,
             None => (),
         }
-        // An expired or given-back entry must not hide the new one.
-        self.forget(key);
+        // An expired or released entry must not override the new one.
+        self.remove_from_tail(key);
         let state = ClaimState::Claimed;
         self.head.tail.push(ClaimEntry { key: key.clone(), attempt, state, granted_at: now });
         ClaimVerdict::Granted
     }
 
-    /// Only the attempt that holds the grant can change what is known of it.
-    fn settle(
+    /// Updates or removes the claim of an attempt. Only the attempt that was granted can change
+    /// its state.
+    fn update_claim(
         &mut self,
         key: &ClaimKey,
         attempt: AttemptId,
@@ -100,27 +105,29 @@
         now: UnixMillis,
         retention: Duration,
     ) -> ClaimVerdict {
-        let held = self.find(key, now, retention).filter(|entry| entry.attempt == attempt);
-        let Some(held) = held.cloned() else {
+        let granted = self.find(key, now, retention).filter(|entry| entry.attempt == attempt);
+        let Some(granted) = granted.cloned() else {
             return ClaimVerdict::AlreadyClaimed;
         };
         match state {
             Some(state) => {
-                self.forget(key);
-                self.head.tail.push(ClaimEntry { state, ..held });
+                self.remove_from_tail(key);
+                self.head.tail.push(ClaimEntry { state, ..granted });
             }
-            // In a chunk the entry stays, and with it the grant: the caller's next attempt is then
-            // told "unknown", which is true to the letter and never lets it run twice.
+            // In a chunk the entry remains, and with it the grant: the next attempt of the caller
+            // is then answered with "unknown", which is literally true and never lets the request
+            // run twice.
             None => self.head.tail.retain(|entry| entry.key != *key),
         }
         ClaimVerdict::Granted
     }
 
-    fn forget(&mut self, key: &ClaimKey) {
+    fn remove_from_tail(&mut self, key: &ClaimKey) {
         self.head.tail.retain(|entry| entry.key != *key);
     }
 
-    /// Drops what is expired and gives the claims that must move to a chunk, if the tail is full.
+    /// Removes expired claims, and returns the claims that have to move to a chunk if the tail is
+    /// too long.
     pub(crate) fn overflow(
         &mut self,
         now: UnixMillis,
@@ -132,13 +139,13 @@
         self.head.tail.retain(|entry| is_live(entry.granted_at));
         self.chunked.retain(|_, entry| is_live(entry.granted_at));
         let count = self.head.tail.len().saturating_sub(tail_claims);
-        // Half a tail at once, so that a chunk is written once in many commits.
+        // Half a tail is moved at once, so that a chunk is written only once in many commits.
         let count = if count > 0 { count + tail_claims / 2 } else { 0 };
         (count > 0).then(|| self.head.tail[..count].to_vec())
     }
 
-    /// Moves the oldest claims of the tail, as [`LiveClaims::overflow`] gave them, behind a chunk
-    /// that is already written.
+    /// Replaces the oldest claims of the tail, as returned by [`LiveClaims::overflow`], by a
+    /// reference to a chunk that is already written.
     pub(crate) fn move_to_chunk(&mut self, entries: &[ClaimEntry], hash: ContentHash) {
         let newest_at = entries.iter().map(|entry| entry.granted_at).max().unwrap_or(0);
         self.head.chunks.push(ChunkRef { hash, newest_at });
--- a/components/claim/tests/at_most_once.rs
+++ b/components/claim/tests/at_most_once.rs
@@ -1,4 +1,4 @@
-//! At most one attempt of a key is ever granted, whatever the platform does.
+//! At most one attempt of a key is ever granted, whatever faults the platform has.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -8,23 +8,23 @@
 use tokio::task::JoinSet;
 
 fn settings() -> ClaimSettings {
-    // Few partitions and short tails, so that writers meet and chunks come about.
+    // Few partitions and short tails, so that writers collide and chunks are written.
     ClaimSettings { partitions: 2, tail_claims: 4, ..ClaimSettings::default() }
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// Attempts on keys, each at one of three daemons, all at once.
+    /// Concurrent attempts on keys, each at one of three daemons.
     Attempts(Vec<(usize, u8)>),
-    /// Fates of the next writes.
-    Fates(Vec<CallFault>),
-    /// The platform goes away or comes back.
+    /// Faults of the next writes.
+    Faults(Vec<CallFault>),
+    /// The platform becomes unavailable or available again.
     Outage(bool),
-    /// A daemon restarts and forgets everything.
+    /// A daemon restarts and loses its cache.
     Restart(usize),
 }
 
-fn fate() -> impl Strategy<Value = CallFault> {
+fn fault() -> impl Strategy<Value = CallFault> {
     prop_oneof![
         Just(CallFault::None),
         Just(CallFault::LoseAnswer),
@@ -36,25 +36,25 @@
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
         4 => prop::collection::vec((0..3_usize, 0..12_u8), 1..8).prop_map(Step::Attempts),
-        2 => prop::collection::vec(fate(), 1..6).prop_map(Step::Fates),
+        2 => prop::collection::vec(fault(), 1..6).prop_map(Step::Faults),
         1 => any::<bool>().prop_map(Step::Outage),
         1 => (0..3_usize).prop_map(Step::Restart),
     ];
     prop::collection::vec(step, 1..40)
 }
 
-/// Counts grants by key over a whole sequence.
+/// Runs the steps and returns the number of grants by key.
 async fn count_grants(steps: Vec<Step>) -> BTreeMap<u8, u32> {
-    let unruly = FaultStore::interleaved();
-    let store: SharedStore = unruly.clone();
+    let fault_store = FaultStore::interleaved();
+    let store: SharedStore = fault_store.clone();
     let book = || Arc::new(ClaimBook::new(store.clone(), settings()));
     let mut books = [book(), book(), book()];
     let (mut grants, mut attempt) = (BTreeMap::new(), 0);
     for step in steps {
         match step {
-            Step::Outage(is_down) => unruly.inner.set_down(is_down),
+            Step::Outage(is_down) => fault_store.inner.set_down(is_down),
             Step::Restart(daemon) => books[daemon] = book(),
-            Step::Fates(fates) => unruly.plan_more(&fates),
+            Step::Faults(faults) => fault_store.plan_more(&faults),
             Step::Attempts(attempts) => {
                 let mut tasks = JoinSet::new();
                 for (daemon, key) in attempts {
@@ -83,9 +83,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(256))]
 
-    // Answers of the platform are lost, daemons restart and race each other, and callers send the
-    // same key again through any of them. A user would notice a second grant as a second
-    // treatment confirmation or food reservation.
+    // Answers of the platform are lost, daemons restart and race each other, and callers resend
+    // the same key through any of them. A second grant would reach a user as a second treatment
+    // confirmation or food reservation.
     #[test]
     fn one_grant(steps in steps()) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true)
@@ -95,8 +95,8 @@
     }
 }
 
-// A naive daemon reads whether the key is there, writes it if not, and tries again when the
-// answer is lost. Two daemons that read at the same moment both find nothing, and both run.
+// A naive daemon reads whether the key exists, writes it if not, and tries again if the answer is
+// lost. Two daemons that read at the same moment both find nothing, and both run the request.
 #[tokio::test(start_paused = true)]
 async fn naive_runs_twice() {
     let store: SharedStore = Arc::new(FakeStore::new());
@@ -112,10 +112,10 @@
     assert_eq!(granted.count(), 1);
 }
 
-// A caller's request ran, its answer was lost on the way, and the caller sends it again through
-// another daemon. It must learn that it ran and how, instead of being served again.
+// The request of a caller ran, its answer was lost, and the caller resends it through another
+// daemon. The caller must learn that it ran, and with which status, instead of being served again.
 #[tokio::test(start_paused = true)]
-async fn resend_learns() {
+async fn resend_gets_status() {
     let store: SharedStore = Arc::new(FakeStore::new());
     let (book, other) =
         (ClaimBook::new(store.clone(), settings()), ClaimBook::new(store, settings()));
@@ -123,15 +123,16 @@
     assert_eq!(book.claim(&key, 1).await, Ok(ClaimVerdict::Granted));
     assert_eq!(other.claim(&key, 2).await, Ok(ClaimVerdict::AlreadyClaimed));
     book.ran(&key, 1, 201);
-    // Of one book, wishes are committed in order: once this is answered, the outcome is kept.
+    // One instance commits its operations in order: once this one is answered, the outcome is
+    // recorded.
     assert_eq!(book.claim(&key, 3).await, Ok(ClaimVerdict::AlreadyRan(201)));
     assert_eq!(other.claim(&key, 4).await, Ok(ClaimVerdict::AlreadyRan(201)));
 }
 
-// A guard claims a request and then has to refuse it. If the claim stood, the caller's next try
-// would be answered "unknown" for an hour although nothing ran.
+// A guard claims a request and then has to reject it. If the claim remained, the next try of the
+// caller would be answered with "unknown" for an hour although nothing ran.
 #[tokio::test(start_paused = true)]
-async fn given_back() {
+async fn claim_released() {
     let store: SharedStore = Arc::new(FakeStore::new());
     let book = ClaimBook::new(store, settings());
     let key = claim_key("/a/b", "one");
@@ -140,10 +141,10 @@
     assert_eq!(book.claim(&key, 2).await, Ok(ClaimVerdict::Granted));
 }
 
-// The platform is away. Running the request without a claim could run it twice, so that it is
-// refused and the caller told to come back.
+// The platform is unavailable. Running the request without a claim could run it twice, so it is
+// rejected and the caller is told to retry.
 #[tokio::test(start_paused = true)]
-async fn platform_away() {
+async fn platform_unavailable() {
     let fake = Arc::new(FakeStore::new());
     let store: SharedStore = fake.clone();
     fake.set_down(true);
--- a/components/report/src/book.rs
+++ b/components/report/src/book.rs
@@ -1,4 +1,7 @@
-//! Acknowledgements of one data centre, gathered at its relays and kept in the platform.
+//! Acknowledgements of a data centre, gathered by its relays and stored in the platform.
+//!
+//! Several relays may write the same acknowledgements. Merging is idempotent and every write is
+//! conditional on the revision, so no acknowledgement is lost or reverted.
 
 use std::{
     collections::BTreeMap,
@@ -12,22 +15,22 @@
 
 use crate::change::{InForceTimes, times_key};
 
-/// Tries of one write before it is left to the next flush; each failed try means that another
-/// relay wrote in between.
-const MAX_TRIES: usize = 5;
-/// Versions whose times are kept: thirty days of 280 changes.
+/// Largest number of tries of one write before it is left to the next flush; each failed try means
+/// that another relay wrote in between.
+const MAX_WRITE_TRIES: usize = 5;
+/// Number of versions whose times are kept: thirty days with 280 changes each.
 const KEPT_VERSIONS: Version = 30 * 280;
-/// Versions flushed at once at most, so that a data centre that was cut off for long does not
-/// write all it missed in one burst.
+/// Largest number of versions written in one flush, so that a data centre that was cut off for
+/// long does not write everything it missed in one burst.
 const MAX_FLUSHED_VERSIONS: usize = 16;
 
 type AckMap = BTreeMap<ProxyId, ProxyAck>;
 type TimesByVersion = BTreeMap<(Version, DataCentre), InForceTimes>;
 
-/// Why reports cannot be read or kept.
+/// Reason why reports cannot be read or stored.
 #[derive(Clone, Debug, Error)]
 pub enum ReportError {
-    /// The platform gave nothing.
+    /// The platform failed.
     #[error(transparent)]
     Store(#[from] StoreError),
     /// An object in the platform is not a report.
@@ -35,11 +38,11 @@
     Corrupt {
         /// Key of the object.
         key: String,
-        /// What is wrong with it.
+        /// Error of the decoder or encoder.
         reason: String,
     },
-    /// Other relays wrote in between, time and again.
-    #[error("object {key} is contended")]
+    /// Other relays wrote the object before each try.
+    #[error("object {key} was changed by other relays before each try")]
     Contended {
         /// Key of the object.
         key: String,
@@ -52,21 +55,22 @@
     times: TimesByVersion,
 }
 
-/// Acknowledgements waiting to be kept.
+/// Acknowledgements that wait to be stored.
 ///
-/// Two relays of a data centre may hold the same ones: merging is idempotent, so each may write.
+/// Two relays of a data centre may have the same acknowledgements. Merging is idempotent, so each
+/// of them may write.
 pub struct ReportBook {
     prefix: String,
     pending: Mutex<PendingAcks>,
 }
 
 impl ReportBook {
-    /// Makes an empty book whose objects lie under `key_prefix`.
+    /// Creates an empty buffer whose objects are stored under `key_prefix`.
     pub fn new(key_prefix: &str) -> Self {
         Self { prefix: report_prefix(key_prefix), pending: Mutex::default() }
     }
 
-    /// Notes acknowledgements; noting one twice changes nothing.
+    /// Adds acknowledgements; adding one twice has no effect.
     pub fn note(&self, acks: Vec<ProxyAck>) {
         let mut pending = self.pending();
         for ack in acks {
@@ -74,37 +78,38 @@
                 let times = pending.times.entry((ack.version, ack.data_centre.clone()));
                 merge_time(times.or_default(), &ack.proxy, ack.since);
             }
-            let map = pending.acks.entry(ack.data_centre.clone()).or_default();
-            merge_ack(map, ack);
+            let centre_acks = pending.acks.entry(ack.data_centre.clone()).or_default();
+            merge_ack(centre_acks, ack);
         }
     }
 
-    /// Counts the data centres of which something is pending.
+    /// Returns the number of data centres with pending acknowledgements.
     pub fn pending_centres(&self) -> usize {
         self.pending().acks.len()
     }
 
-    /// Writes what is pending to the platform: one object for each data centre, and one for each
+    /// Writes the pending data to the platform: one object for each data centre, and one for each
     /// version there.
     ///
     /// # Errors
     ///
-    /// Returns a [`ReportError`]; what was pending is then pending again.
+    /// Returns a [`ReportError`]; the data that was not written is pending again.
     pub async fn flush(&self, store: &SharedStore) -> Result<(), ReportError> {
         let acks = std::mem::take(&mut self.pending().acks);
         let mut result = Ok(());
         for (data_centre, acks) in acks {
-            if let Err(err) = self.keep_acks(store, &data_centre, &acks).await {
-                // Lost acks would leave proxies "pending" for ever although they hold the version.
+            if let Err(err) = self.write_acks(store, &data_centre, &acks).await {
+                // Lost acknowledgements would leave proxies "pending" for ever although they have
+                // the version.
                 self.restore_acks(acks);
                 result = Err(err);
             }
         }
         for ((version, data_centre), times) in self.take_times() {
-            if let Err(err) = self.keep_times(store, version, &data_centre, &times).await {
+            if let Err(err) = self.write_times(store, version, &data_centre, &times).await {
                 let mut pending = self.pending();
-                let held = pending.times.entry((version, data_centre)).or_default();
-                times.iter().for_each(|(proxy, since)| merge_time(held, proxy, *since));
+                let pending_times = pending.times.entry((version, data_centre)).or_default();
+                times.iter().for_each(|(proxy, since)| merge_time(pending_times, proxy, *since));
                 result = Err(err);
             }
         }
@@ -115,6 +120,7 @@
         self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Makes acknowledgements pending again after they could not be written.
     fn restore_acks(&self, acks: AckMap) {
         let mut pending = self.pending();
         for ack in acks.into_values() {
@@ -122,7 +128,8 @@
         }
     }
 
-    /// Takes the newest versions' times; what an outage left beyond the bound goes next time.
+    /// Removes and returns the times of the newest versions. Those beyond the bound, as after an
+    /// outage, are left to the next flush.
     fn take_times(&self) -> TimesByVersion {
         let mut pending = self.pending();
         let skipped = pending.times.len().saturating_sub(MAX_FLUSHED_VERSIONS);
@@ -130,20 +137,23 @@
         first.map(|first| pending.times.split_off(&first)).unwrap_or_default()
     }
 
-    async fn keep_acks(
+    /// Merges acknowledgements into the object of a data centre.
+    async fn write_acks(
         &self,
         store: &SharedStore,
         data_centre: &DataCentre,
         acks: &AckMap,
     ) -> Result<(), ReportError> {
         let key = format!("{}proxies/{data_centre}", self.prefix);
-        let merge = |map: &mut AckMap| {
-            acks.values().for_each(|ack| merge_ack(map, ack.clone()));
+        let merge = |centre_acks: &mut AckMap| {
+            acks.values().for_each(|ack| merge_ack(centre_acks, ack.clone()));
         };
         update_object(store, &key, merge).await.map(drop)
     }
 
-    async fn keep_times(
+    /// Merges times into the object of a version in a data centre. The first write of a version
+    /// deletes the object that leaves the retention.
+    async fn write_times(
         &self,
         store: &SharedStore,
         version: Version,
@@ -151,42 +161,43 @@
         times: &InForceTimes,
     ) -> Result<(), ReportError> {
         let key = times_key(&self.prefix, version, data_centre);
-        let merge = |held: &mut InForceTimes| {
-            times.iter().for_each(|(proxy, since)| merge_time(held, proxy, *since));
+        let merge = |stored: &mut InForceTimes| {
+            times.iter().for_each(|(proxy, since)| merge_time(stored, proxy, *since));
         };
         let is_new = update_object(store, &key, merge).await?;
         match version.checked_sub(KEPT_VERSIONS).filter(|_| is_new) {
-            Some(old) => forget(store, &times_key(&self.prefix, old, data_centre)).await,
+            Some(old) => delete_object(store, &times_key(&self.prefix, old, data_centre)).await,
             None => Ok(()),
         }
     }
 }
 
-/// Merges into an object under a condition on its revision, and tells whether it was created.
+/// Merges data into an object under a condition on its revision, and returns whether the object
+/// was created.
 async fn update_object<T: Default + Clone + PartialEq + Serialize + DeserializeOwned>(
     store: &SharedStore,
     key: &str,
     merge: impl Fn(&mut T),
 ) -> Result<bool, ReportError> {
-    for _ in 0..MAX_TRIES {
+    for _ in 0..MAX_WRITE_TRIES {
         let object = store.get(key).await?;
-        let held: T = match &object {
+        let stored: T = match &object {
             Some(object) => parse(key, &object.value)?,
             None => T::default(),
         };
-        let mut merged = held.clone();
+        let mut merged = stored.clone();
         merge(&mut merged);
-        if merged == held {
+        if merged == stored {
             return Ok(false);
         }
-        let value = serde_json::to_string(&merged).map_err(|err| corrupt(key, &err))?;
+        let value = serde_json::to_string(&merged).map_err(|err| corrupt_object(key, &err))?;
         let written = match &object {
             Some(object) => store.replace(key, object.revision, value).await,
             None => store.create(key, value).await,
         };
         match written {
             Ok(_) => return Ok(object.is_none()),
-            // A lost answer needs no care of its own: merging the same again is harmless.
+            // A lost answer needs no handling of its own: merging the same data again is harmless.
             Err(StoreError::Conflict { .. } | StoreError::Unknown { .. }) => (),
             Err(err) => return Err(err.into()),
         }
@@ -194,20 +205,20 @@
     Err(ReportError::Contended { key: key.to_owned() })
 }
 
-async fn forget(store: &SharedStore, key: &str) -> Result<(), ReportError> {
+async fn delete_object(store: &SharedStore, key: &str) -> Result<(), ReportError> {
     let Some(object) = store.get(key).await? else { return Ok(()) };
     match store.delete(key, object.revision).await {
-        // Another relay was quicker.
+        // Another relay has deleted it already.
         Ok(()) | Err(StoreError::Conflict { .. }) => Ok(()),
         Err(err) => Err(err.into()),
     }
 }
 
-/// Reads all acknowledgements kept in the platform.
+/// Returns all acknowledgements stored in the platform.
 ///
 /// # Errors
 ///
-/// Returns a [`ReportError`] when the platform is away or an object is not a report.
+/// Returns a [`ReportError`] if the platform is unavailable or an object is not a report.
 pub async fn read_acks(store: &SharedStore, key_prefix: &str) -> Result<AckMap, ReportError> {
     let mut acks = AckMap::new();
     for object in store.list(&format!("{}proxies/", report_prefix(key_prefix))).await? {
@@ -218,11 +229,11 @@
     Ok(acks)
 }
 
-/// Reads when each proxy put a version in force.
+/// Returns the time at which each proxy put a version in force.
 ///
 /// # Errors
 ///
-/// Returns a [`ReportError`] when the platform is away or an object is not a report.
+/// Returns a [`ReportError`] if the platform is unavailable or an object is not a report.
 pub async fn read_times(
     store: &SharedStore,
     key_prefix: &str,
@@ -241,28 +252,28 @@
     format!("{key_prefix}reports/")
 }
 
-/// Keeps the greater of two acks of one proxy. A later process may hold nothing yet, and saying
-/// that its predecessor's version is in force would be untrue.
+/// Keeps the greater of two acknowledgements of one proxy. A later process may have no version
+/// yet, and reporting the version of its predecessor as in force would be wrong.
 fn merge_ack(acks: &mut AckMap, ack: ProxyAck) {
     let rank = |ack: &ProxyAck| {
         (ack.incarnation, ack.version, ack.rejected.as_ref().map(|rejected| rejected.version))
     };
-    let is_newer = acks.get(&ack.proxy).is_none_or(|held| rank(held) < rank(&ack));
+    let is_newer = acks.get(&ack.proxy).is_none_or(|stored| rank(stored) < rank(&ack));
     if is_newer {
         acks.insert(ack.proxy.clone(), ack);
     }
 }
 
-/// Keeps the first time: a process that restarts comes by the same version once more.
+/// Keeps the earliest time: a restarted process puts the same version in force once more.
 fn merge_time(times: &mut InForceTimes, proxy: &ProxyId, since: u64) {
-    let held = times.entry(proxy.clone()).or_insert(since);
-    *held = (*held).min(since);
+    let earliest = times.entry(proxy.clone()).or_insert(since);
+    *earliest = (*earliest).min(since);
 }
 
 fn parse<T: DeserializeOwned>(key: &str, value: &str) -> Result<T, ReportError> {
-    serde_json::from_str(value).map_err(|err| corrupt(key, &err))
+    serde_json::from_str(value).map_err(|err| corrupt_object(key, &err))
 }
 
-fn corrupt(key: &str, err: &serde_json::Error) -> ReportError {
+fn corrupt_object(key: &str, err: &serde_json::Error) -> ReportError {
     ReportError::Corrupt { key: key.to_owned(), reason: err.to_string() }
 }
--- a/components/report/src/change.rs
+++ b/components/report/src/change.rs
@@ -1,4 +1,4 @@
-//! How one change went through the fleet.
+//! The report on how one change spread through the fleet.
 
 use std::collections::BTreeMap;
 
@@ -8,62 +8,65 @@
 
 use crate::fleet::KnownProxy;
 
-/// When each proxy put one version in force, on the proxies' clocks.
+/// Time at which each proxy put one version in force, on the clocks of the proxies.
 pub type InForceTimes = BTreeMap<ProxyId, UnixMillis>;
 
-/// Delays from acceptance, in milliseconds, by the clocks of the accepting daemon and the proxies.
+/// Delays from acceptance to enforcement in milliseconds, by the clocks of the accepting daemon
+/// and the proxies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct DelaySummary {
-    /// Half the proxies were not slower.
+    /// Median delay in milliseconds.
     pub p50_ms: u64,
-    /// 99 in 100 were not slower.
+    /// Delay in milliseconds that 99 in 100 proxies did not exceed.
     pub p99_ms: u64,
-    /// The slowest.
+    /// Largest delay in milliseconds.
     pub max_ms: u64,
 }
 
-/// How one change went through the fleet.
+/// Progress of one change through the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct ChangeReport {
-    /// The change.
+    /// Record of the change.
     pub change: ChangeRecord,
-    /// Proxies that acknowledged this very version, whether or not they are still there.
+    /// Number of proxies that acknowledged exactly this version, including those that no longer
+    /// exist.
     pub acknowledged: usize,
-    /// Proxies that membership knows and that hold this version or a later one.
+    /// Number of proxies known to membership that have this version or a later one.
     pub in_force: usize,
-    /// All proxies that membership knows.
+    /// Number of all proxies known to membership.
     pub total: usize,
-    /// Known proxies that hold neither this version nor a later one, as far as they have said.
+    /// Known proxies that have not acknowledged this version or a later one.
     pub missing: Vec<ProxyId>,
-    /// Delays of those that acknowledged this very version.
+    /// Delays of the proxies that acknowledged exactly this version.
     pub delays: Option<DelaySummary>,
 }
 
-/// Makes the report on one change.
+/// Returns the report on one change.
 pub fn make_change_report(
     change: ChangeRecord,
     times: &InForceTimes,
     known: &BTreeMap<ProxyId, KnownProxy>,
     acks: &BTreeMap<ProxyId, ProxyAck>,
 ) -> ChangeReport {
-    let holds = |(proxy, known): &(&ProxyId, &KnownProxy)| {
+    let has_version = |(proxy, known): &(&ProxyId, &KnownProxy)| {
         let ack = acks.get(*proxy).filter(|ack| ack.incarnation >= known.incarnation);
         ack.is_some_and(|ack| ack.version >= change.version)
     };
     let missing: Vec<ProxyId> =
-        known.iter().filter(|entry| !holds(entry)).map(|(proxy, _)| proxy.clone()).collect();
+        known.iter().filter(|entry| !has_version(entry)).map(|(proxy, _)| proxy.clone()).collect();
     ChangeReport {
         acknowledged: times.len(),
         in_force: known.len() - missing.len(),
         total: known.len(),
         missing,
-        delays: summarise(times, change.accepted_at),
+        delays: summarise_delays(times, change.accepted_at),
         change,
     }
 }
 
-fn summarise(times: &InForceTimes, accepted_at: UnixMillis) -> Option<DelaySummary> {
-    // A proxy whose clock is behind the accepting daemon's seems to be early; it counts as zero.
+fn summarise_delays(times: &InForceTimes, accepted_at: UnixMillis) -> Option<DelaySummary> {
+    // A proxy whose clock is behind that of the accepting daemon seems to be early; its delay
+    // counts as zero.
     let mut delays: Vec<u64> = times.values().map(|at| at.saturating_sub(accepted_at)).collect();
     delays.sort_unstable();
     let max_ms = *delays.last()?;
@@ -71,7 +74,7 @@
     Some(DelaySummary { p50_ms: quantile(50), p99_ms: quantile(99), max_ms })
 }
 
-/// Names one version's times in one data centre.
+/// Returns the key of the times of one version in one data centre.
 pub(crate) fn times_key(prefix: &str, version: Version, data_centre: &str) -> String {
     format!("{prefix}changes/{version:012}/{data_centre}")
 }
--- a/components/report/src/fleet.rs
+++ b/components/report/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The report on the whole fleet.
+//! The report on the versions of all proxies.
 
 use std::collections::BTreeMap;
 
@@ -6,78 +6,80 @@
 use serde::{Deserialize, Serialize};
 use sk_model::{ChangeRecord, DataCentre, ProxyAck, ProxyId, UnixMillis, Version};
 
-/// Where a proxy stands towards the newest version.
+/// State of a proxy with respect to the newest version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "state", rename_all = "kebab-case")]
 pub enum ProxyState {
-    /// It has itself acknowledged the newest version.
+    /// The proxy has acknowledged the newest version.
     InForce,
-    /// It is present and has acknowledged an older version or none.
+    /// The proxy is present and has acknowledged an older version or none.
     Pending,
-    /// It refused the newest version whole.
+    /// The proxy rejected the newest version as a whole.
     Rejected {
-        /// Why.
+        /// Reason of the rejection.
         reason: String,
     },
-    /// Nothing is heard of it; what it holds now is not known.
+    /// The proxy cannot be reached; its current version is unknown.
     Unreachable {
-        /// Since when, on the clock of the daemon that made the report.
+        /// Start of the unreachability, on the clock of the daemon that made the report.
         unreachable_since: UnixMillis,
     },
-    /// It acknowledged once and no daemon knows of it now.
+    /// The proxy acknowledged a version before, and no daemon knows it now.
     Unknown,
 }
 
-/// A proxy that membership knows.
+/// A proxy known to membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KnownProxy {
-    /// Its data centre.
+    /// Data centre of the proxy.
     pub data_centre: DataCentre,
-    /// Start of its process, in milliseconds since the epoch.
+    /// Start of its process in milliseconds since the Unix epoch.
     pub incarnation: UnixMillis,
-    /// Since when it is not reachable, on this daemon's clock; none while it is believed present.
+    /// Start of the unreachability on the clock of this daemon, or `None` while the proxy is
+    /// believed present.
     pub unreachable_since: Option<UnixMillis>,
 }
 
-/// What is known of one proxy.
+/// Version and state of one proxy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct ProxyReport {
-    /// The proxy.
+    /// Name of the proxy.
     pub proxy: ProxyId,
-    /// Its data centre.
+    /// Data centre of the proxy.
     pub data_centre: DataCentre,
-    /// The version it last acknowledged, zero for none.
+    /// Version that the proxy acknowledged last, or zero for none.
     pub version: Version,
-    /// Since when, on the proxy's clock; zero for never.
+    /// Time at which the version was put in force, on the clock of the proxy; zero for none.
     pub since: UnixMillis,
-    /// The daemon the version came from, or `platform`.
+    /// Daemon that the version came from, or `platform`.
     pub source: ProxyId,
-    /// Where it stands.
+    /// State with respect to the newest version.
     #[serde(flatten)]
     pub state: ProxyState,
 }
 
-/// Who holds which configuration.
+/// The versions of all proxies.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct FleetReport {
-    /// The newest accepted version.
+    /// Newest accepted version.
     pub version: Version,
-    /// The change that made it.
+    /// Record of the newest change.
     pub change: Option<ChangeRecord>,
-    /// Proxies that hold it.
+    /// Number of proxies that have the newest version.
     pub in_force: usize,
-    /// All proxies that membership knows.
+    /// Number of all proxies known to membership.
     pub total: usize,
     /// Milliseconds from acceptance to the last acknowledgement, by the clocks of the accepting
     /// daemon and the proxies; absent until every proxy has acknowledged.
     pub convergence_ms: Option<u64>,
-    /// Each proxy that membership knows.
+    /// Proxies known to membership.
     pub proxies: Vec<ProxyReport>,
-    /// Proxies that acknowledged once and that membership no longer knows, such as replaced ones.
+    /// Proxies that acknowledged a version before and that membership no longer knows, such as
+    /// replaced ones.
     pub departed: Vec<ProxyReport>,
 }
 
-/// Makes the report from the newest change, the proxies known and their acknowledgements.
+/// Returns the report from the newest change, the known proxies and their acknowledgements.
 pub fn make_report(
     change: Option<ChangeRecord>,
     known: &BTreeMap<ProxyId, KnownProxy>,
@@ -85,12 +87,12 @@
 ) -> FleetReport {
     let version = change.as_ref().map_or(0, |change| change.version);
     let report = |(proxy, known): (&ProxyId, &KnownProxy)| {
-        // An ack of an earlier process says nothing about the one that runs now.
+        // An acknowledgement of an earlier process says nothing about the current one.
         let ack = acks.get(proxy).filter(|ack| ack.incarnation >= known.incarnation);
-        report_proxy(version, proxy, known, ack)
+        report_known_proxy(version, proxy, known, ack)
     };
     let departed = |(proxy, ack): (&ProxyId, &ProxyAck)| {
-        report_held(proxy, &ack.data_centre, Some(ack), ProxyState::Unknown)
+        build_report(proxy, &ack.data_centre, Some(ack), ProxyState::Unknown)
     };
     let is_departed = |(proxy, _): &(&ProxyId, &ProxyAck)| !known.contains_key(*proxy);
     let departed = acks.iter().filter(is_departed).map(departed).collect();
@@ -116,24 +118,24 @@
     }
 }
 
-fn report_proxy(
+fn report_known_proxy(
     newest: Version,
     proxy: &ProxyId,
     known: &KnownProxy,
     ack: Option<&ProxyAck>,
 ) -> ProxyReport {
-    let refusal = ack.and_then(|ack| ack.rejected.as_ref());
-    let refusal = refusal.filter(|rejected| rejected.version == newest);
-    let state = match (known.unreachable_since, ack, refusal) {
+    let rejection = ack.and_then(|ack| ack.rejected.as_ref());
+    let rejection = rejection.filter(|rejected| rejected.version == newest);
+    let state = match (known.unreachable_since, ack, rejection) {
         (Some(unreachable_since), ..) => ProxyState::Unreachable { unreachable_since },
         (None, Some(ack), _) if ack.version >= newest => ProxyState::InForce,
         (None, _, Some(rejected)) => ProxyState::Rejected { reason: rejected.reason.clone() },
         _ => ProxyState::Pending,
     };
-    report_held(proxy, &known.data_centre, ack, state)
+    build_report(proxy, &known.data_centre, ack, state)
 }
 
-fn report_held(
+fn build_report(
     proxy: &ProxyId,
     data_centre: &DataCentre,
     ack: Option<&ProxyAck>,
--- a/components/report/src/lib.rs
+++ b/components/report/src/lib.rs
@@ -1,4 +1,8 @@
-//! Who holds which configuration, kept in the platform.
+//! Reports on which daemon has which version of the configuration, stored in the platform.
+//!
+//! Every proxy acknowledges the version that it has put in force. The acknowledgements are stored
+//! in the platform, so that a report is available even after the daemons that gathered them are
+//! gone.
 
 mod book;
 mod change;
--- a/components/report/tests/true_reports.rs
+++ b/components/report/tests/true_reports.rs
@@ -1,4 +1,4 @@
-//! Reports never say more than proxies have themselves acknowledged.
+//! Reports contain only versions that the proxies themselves have acknowledged.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -48,15 +48,16 @@
     report.proxies[0].state.clone()
 }
 
-// A daemon that held the newest version is replaced by a new process, which holds nothing yet. A
-// naive report by name would go on saying "in force".
+// A daemon with the newest version is replaced by a new process, which has no version yet. A naive
+// report by name would still say "in force".
 #[test]
 fn new_process() {
     assert_eq!(state_of(known(1, None), Some(ack("a", 1, 2))), ProxyState::InForce);
     assert_eq!(state_of(known(2, None), Some(ack("a", 1, 2))), ProxyState::Pending);
 }
 
-// A daemon is cut off. What it holds now is not known, although its last word was good.
+// A daemon is cut off. Its current version is unknown, although its last acknowledgement was of
+// the newest one.
 #[test]
 fn silent_proxy() {
     let state = state_of(known(1, Some(77)), Some(ack("a", 1, 2)));
@@ -64,10 +65,10 @@
     assert_eq!(state_of(known(1, None), None), ProxyState::Pending);
 }
 
-// A manager asks while a proxy is cut off. Two fields of one name in the answer made the command
-// line refuse the whole report, just when it was needed.
+// A manager requests a report while a proxy is cut off. Two fields with the same name in the
+// answer made the command line reject the whole report just when it was needed.
 #[test]
-fn every_state_reads() {
+fn every_state_decodes() {
     let known = [("a", known(1, None)), ("b", known(1, Some(77))), ("c", known(1, None))];
     let known = known.map(|(proxy, known)| (proxy.to_owned(), known)).into();
     let rejected = Some(RejectedVersion { version: 2, reason: "bad".to_owned() });
@@ -79,16 +80,17 @@
 }
 
 #[test]
-fn refused_version() {
+fn rejected_version() {
     let rejected = Some(RejectedVersion { version: 2, reason: "bad".to_owned() });
     let ack = ProxyAck { rejected, ..ack("a", 1, 1) };
     let state = state_of(known(1, None), Some(ack));
     assert_eq!(state, ProxyState::Rejected { reason: "bad".to_owned() });
 }
 
-// Every daemon is lost and others take their places. The managers still see who held what.
+// Every daemon is lost and replaced by others. The managers still see which proxy had which
+// version.
 #[tokio::test]
-async fn all_lost() {
+async fn departed_reported() {
     let store: SharedStore = Arc::new(FakeStore::new());
     let book = ReportBook::new(PREFIX);
     book.note(vec![ack("a", 1, 2), ack("b", 1, 1)]);
@@ -103,10 +105,11 @@
     assert_eq!(report.delays.map(|delays| delays.max_ms), Some(2));
 }
 
-// The platform is away while acknowledgements arrive. They are kept when it is back; if they were
-// dropped, proxies that hold the version would be reported as pending for ever.
+// The platform is unavailable while acknowledgements arrive. They are stored once it is available
+// again; if they were dropped, proxies that have the version would be reported as pending for
+// ever.
 #[tokio::test]
-async fn outage_kept() {
+async fn acks_kept_in_outage() {
     let fake = Arc::new(FakeStore::new());
     let store: SharedStore = fake.clone();
     let book = ReportBook::new(PREFIX);
@@ -126,8 +129,8 @@
 }
 
 proptest! {
-    // Two relays gather overlapping acknowledgements in different orders, with answers of the
-    // platform lost. The report equals that of one relay that saw everything in order.
+    // Two relays gather overlapping acknowledgements in different orders, while answers of the
+    // platform are lost. The report equals that of one relay that received everything in order.
     #[test]
     fn two_relays(acks in any_acks(), split in prop::collection::vec(0..3_u8, 24), lost in 0..3_u8) {
         let runtime = tokio::runtime::Builder::new_current_thread().build().expect("runtime");
