--- a/components/claim/src/settings.rs
+++ b/components/claim/src/settings.rs
@@ -11,7 +11,7 @@
     /// every daemon of a fleet. Writers of one partition wait for each other; each partition costs
     /// its writer one head.
     pub partitions: u32,
-    /// Time for which a claim is kept, at least ten minutes. A copy inside the system is rejected
+    /// Time for which a claim is kept, at least ten minutes. A copy inside the system is refused
     /// after its deadline, 120 s at most, so that only a caller who resends after the retention is
     /// served again.
     pub retention: Duration,
@@ -21,10 +21,10 @@
     /// Largest number of operations in one commit. It bounds a head to twice the tail.
     pub max_batch: usize,
     /// Largest number of operations that wait for a commit in one partition. Further ones are
-    /// rejected as unavailable, because a platform that slow would answer them after their
+    /// refused as unavailable, because a platform that slow would answer them after their
     /// deadlines.
     pub max_queued: usize,
-    /// Largest number of tries of one commit before its claims are rejected as unavailable.
+    /// Largest number of tries of one commit before its claims are refused as unavailable.
     pub max_tries: u32,
     /// Longest pause between two commits of one partition while the platform rejects calls above
     /// its rate. The pause starts at a hundredth of this, doubles with each rejection and shrinks
--- a/components/claim/tests/at_most_once.rs
+++ b/components/claim/tests/at_most_once.rs
@@ -129,7 +129,7 @@
     assert_eq!(other.claim(&key, 4).await, Ok(ClaimVerdict::AlreadyRan(201)));
 }
 
-// A guard claims a request and then has to reject it. If the claim remained, the next try of the
+// A guard claims a request and then has to refuse it. If the claim remained, the next try of the
 // caller would be answered with "unknown" for an hour although nothing ran.
 #[tokio::test(start_paused = true)]
 async fn claim_released() {
@@ -142,7 +142,7 @@
 }
 
 // The platform is unavailable. Running the request without a claim could run it twice, so it is
-// rejected and the caller is told to retry.
+// refused and the caller is told to retry.
 #[tokio::test(start_paused = true)]
 async fn platform_unavailable() {
     let fake = Arc::new(FakeStore::new());
--- a/components/ledger/src/error.rs
+++ b/components/ledger/src/error.rs
@@ -43,7 +43,7 @@
         /// Time after which to retry.
         retry_after: Duration,
     },
-    /// The answer to the commit was lost, and the platform does not tell its outcome. The change
+    /// The answer to the commit was lost, and the platform does not report its outcome. The change
     /// may be in force or may yet take effect. Submitting the same request again resolves this.
     #[error("outcome unknown; look up change {change_id}")]
     Unknown {
--- a/components/ledger/tests/call_counts.rs
+++ b/components/ledger/tests/call_counts.rs
@@ -21,18 +21,19 @@
     }
     store.take_counts();
     let reader = Ledger::new(store.clone(), LedgerSettings::default());
-    let held = reader.load(&ConfigSnapshot::default()).await.expect("up");
+    let known = reader.load(&ConfigSnapshot::default()).await.expect("up");
     assert_eq!(store.take_counts(), (1 + TEAMS, 0), "load with nothing known");
     let change = request("c1", "ana", 1, &[("/team0/service", None)]);
     ledger.submit(&change, 1).await.expect("accepted");
     assert_eq!(store.take_counts(), (2, 2), "accept on a ledger that has read the head");
-    let held = reader.wait_newer(&held, Duration::from_secs(9)).await.expect("up").expect("newer");
+    let known =
+        reader.wait_newer(&known, Duration::from_secs(9)).await.expect("up").expect("newer");
     assert_eq!(store.take_counts(), (2, 0), "a watch and the changed subtree");
-    reader.load(&held).await.expect("up");
+    reader.load(&known).await.expect("up");
     assert_eq!(store.take_counts(), (1, 0), "load with everything known");
     for number in 0..800_u64 {
         let (id, path) = (format!("n{number}"), "/team1/value");
-        let base = held.version() + number;
+        let base = known.version() + number;
         let change = request(&id, "ana", base, &[(path, Some(value(number)))]);
         ledger.submit(&change, 1).await.expect("accepted");
     }
--- a/components/ledger/tests/corrupt_platform.rs
+++ b/components/ledger/tests/corrupt_platform.rs
@@ -40,13 +40,13 @@
     let platform = Arc::new(FakeStore::new());
     let store = FaultStore::new(&platform);
     let ledger = write_two(&store).await;
-    let held = ledger.load(&ConfigSnapshot::default()).await.expect("up");
+    let known = ledger.load(&ConfigSnapshot::default()).await.expect("up");
     let head = platform.get("sapphirekeel/head").await.expect("up").expect("a head");
     platform.delete(&head.key, head.revision).await.expect("up");
     let expected = CorruptData::Regressed { found: 0, known: 2 };
-    assert_eq!(ledger.load(&held).await, Err(LedgerError::Corrupt(expected.clone())));
+    assert_eq!(ledger.load(&known).await, Err(LedgerError::Corrupt(expected.clone())));
     let change = request("c9", "ana", 0, &[("/one/setting", Some(value(1)))]);
     assert_eq!(ledger.submit(&change, 1).await, Err(SubmitError::Corrupt(expected)));
     let other = quick_ledger(&store);
-    assert!(matches!(other.load(&held).await, Err(LedgerError::Corrupt(_))));
+    assert!(matches!(other.load(&known).await, Err(LedgerError::Corrupt(_))));
 }
--- a/components/ledger/tests/newer_version.rs
+++ b/components/ledger/tests/newer_version.rs
@@ -12,14 +12,14 @@
 async fn wakes_waiters() {
     let store = FaultStore::new(&Arc::default());
     let writer = quick_ledger(&store);
-    let mut held = ConfigSnapshot::default();
+    let mut known = ConfigSnapshot::default();
     for version in 1..=20_u64 {
         let waiter = quick_ledger(&FaultStore::new(&store.inner));
-        let before = held.clone();
+        let before = known.clone();
         let task =
             tokio::spawn(async move { waiter.wait_newer(&before, Duration::from_secs(30)).await });
         tokio::task::yield_now().await;
-        assert!(!task.is_finished(), "nothing newer than {}", held.version());
+        assert!(!task.is_finished(), "nothing newer than {}", known.version());
         let change = request(
             &format!("c{version}"),
             "ana",
@@ -27,9 +27,9 @@
             &[("/one/value", Some(value(version)))],
         );
         writer.submit(&change, version).await.expect("accepted");
-        held = task.await.expect("no panic").expect("up").expect("newer");
-        assert!(held.is_intact());
-        assert_eq!(held.version(), version);
+        known = task.await.expect("no panic").expect("up").expect("newer");
+        assert!(known.is_intact());
+        assert_eq!(known.version(), version);
     }
-    assert_eq!(writer.wait_newer(&held, Duration::ZERO).await, Ok(None));
+    assert_eq!(writer.wait_newer(&known, Duration::ZERO).await, Ok(None));
 }
--- a/components/ledger/tests/operator_session.rs
+++ b/components/ledger/tests/operator_session.rs
@@ -51,12 +51,12 @@
     store.plan(&[]);
     log += &submit(&ana, 8, &newer).await;
     log += &submit(&bor, 9, &newer).await;
-    let held = bor.load(&ConfigSnapshot::default()).await.expect("up");
-    for (path, body) in held.settings() {
+    let known = bor.load(&ConfigSnapshot::default()).await.expect("up");
+    for (path, body) in known.settings() {
         log += &format!("{path} = {}\n", serde_json::to_string(body).expect("JSON"));
     }
-    let waited = bor.wait_newer(&held, Duration::from_millis(1)).await;
-    log += &format!("newer than {}: {waited:?}\n", held.version());
+    let waited = bor.wait_newer(&known, Duration::from_millis(1)).await;
+    log += &format!("newer than {}: {waited:?}\n", known.version());
     let history = bor.history(1, 9).await.expect("up");
     log += &format!("history: {:?}\n", history.iter().map(|r| &r.change_id).collect::<Vec<_>>());
     expect![[r#"
--- a/components/member/src/freshness.rs
+++ b/components/member/src/freshness.rs
@@ -1,8 +1,8 @@
 //! The order in which daemons poll the configuration source.
 //!
-//! Each proof of freshness says who last read the source and when. If proofs grow old, the next
-//! daemon in the order polls too, so that a data centre does not fall behind because its relay
-//! cannot reach the source.
+//! Each proof of freshness contains which daemon last read the source and when. If proofs grow old,
+//! the next daemon in the order polls too, so that a data centre does not fall behind because its
+//! relay cannot reach the source.
 
 use std::{cmp::Reverse, collections::BTreeMap, time::Duration};
 
--- a/components/member/src/monitor.rs
+++ b/components/member/src/monitor.rs
@@ -78,7 +78,7 @@
     own: ProxyId,
     round: u64,
     options: MonitorOptions,
-    neighbours: NeighbourTracker,
+    neighbour_tracker: NeighbourTracker,
     suspicion_log: SuspicionLog,
     marks: MemberMarks,
     last_tick: Option<Duration>,
@@ -113,7 +113,7 @@
             own,
             round: incarnation,
             options,
-            neighbours: NeighbourTracker::default(),
+            neighbour_tracker: NeighbourTracker::default(),
             suspicion_log: SuspicionLog::default(),
             marks: MemberMarks::default(),
             last_tick: None,
@@ -127,19 +127,19 @@
     /// it. New neighbours get the full time to be heard.
     pub fn set_neighbours(&mut self, neighbours: impl IntoIterator<Item = ProxyId>, now: Duration) {
         let wanted_neighbours: BTreeSet<ProxyId> = neighbours.into_iter().collect();
-        self.neighbours.set_neighbours(wanted_neighbours, now, &self.options);
+        self.neighbour_tracker.set_neighbours(wanted_neighbours, now, &self.options);
         self.last_assessed = None;
     }
 
     /// Records that a neighbour was heard at `now`.
     pub fn heard(&mut self, proxy: &str, now: Duration) {
-        self.neighbours.note_heard(proxy, now, &self.options);
+        self.neighbour_tracker.note_heard(proxy, now, &self.options);
     }
 
     /// Records that the connection to a neighbour was reset or refused. The kernel reports this at
     /// once when a process ends, long before its silence is noticed.
     pub fn lost(&mut self, proxy: &str, now: Duration) {
-        self.neighbours.note_reset(proxy, now);
+        self.neighbour_tracker.note_reset(proxy, now);
     }
 
     /// Adds a suspicion of another observer, and returns whether it was new and has to be passed
@@ -161,7 +161,7 @@
             return self.resume_after_pause(gap, now);
         }
         self.suspicion_log.expire(now, self.options.suspicion_ttl);
-        let due = self.neighbours.due_suspicions(view, now, &self.options);
+        let due = self.neighbour_tracker.due_suspicions(view, now, &self.options);
         let suspicions: Vec<MemberSuspicion> =
             due.into_iter().map(|due| self.create_suspicion(due)).collect();
         for suspicion in &suspicions {
@@ -178,7 +178,7 @@
     // were refuted meanwhile. Without this delay the daemon would suspect all neighbours and
     // remove running daemons; what it missed arrives within the delay.
     fn resume_after_pause(&mut self, gap: Duration, now: Duration) -> Vec<MonitorEvent> {
-        self.neighbours.restart_timers(now);
+        self.neighbour_tracker.restart_timers(now);
         self.assess_after = now + self.options.suspect;
         vec![MonitorEvent::Paused(gap)]
     }
@@ -199,11 +199,13 @@
     /// Updates the marks and adds the events that follow from the current suspicions. Does nothing
     /// if neither the suspicions nor the links have changed.
     fn assess(&mut self, view: &MemberView, now: Duration, events: &mut Vec<MonitorEvent>) {
-        let silent =
-            self.neighbours.silence_states(now, &self.options).filter(|(_, is_silent)| *is_silent);
+        let silent = self
+            .neighbour_tracker
+            .silence_states(now, &self.options)
+            .filter(|(_, is_silent)| *is_silent);
         let silent: Vec<ProxyId> = silent.map(|(proxy, _)| proxy.clone()).collect();
         let has_no_suspicion = silent.is_empty() && self.suspicion_log.is_empty();
-        if has_no_suspicion || self.neighbours.is_empty() {
+        if has_no_suspicion || self.neighbour_tracker.is_empty() {
             self.last_assessed = None;
             return self.set_marks(MemberMarks::default(), events);
         }
@@ -218,7 +220,7 @@
             view,
             plan: &plan,
             observers_by_suspect: self.suspicion_log.observers_by_suspect(view),
-            neighbours: self.neighbours.silence_states(now, &self.options).collect(),
+            neighbours: self.neighbour_tracker.silence_states(now, &self.options).collect(),
             quorum: self.options.quorum.max(1),
         };
         let reached = assessment.find_reached();
--- a/components/member/src/neighbours.rs
+++ b/components/member/src/neighbours.rs
@@ -1,6 +1,6 @@
 //! Tracking when each neighbour in the overlay was last heard, and which suspicions that leads to.
 //!
-//! Suspicions travel to the whole fleet. A neighbour that refutes a suspicion is therefore
+//! Suspicions are sent to the whole fleet. A neighbour that refutes a suspicion is therefore
 //! suspected again only after a growing delay, so that a link which fails in one direction does
 //! not flood the fleet.
 
--- a/components/member/src/tombstone.rs
+++ b/components/member/src/tombstone.rs
@@ -1,6 +1,6 @@
 //! Retention of the records of daemons that are gone.
 //!
-//! A tombstone prevents that a late copy of an older record makes a gone daemon look alive again.
+//! A tombstone prevents a late copy of an older record from making a gone daemon look alive again.
 //! It is first spread to other daemons, then kept locally, and finally removed, so that memory
 //! stays bounded.
 
--- a/components/report/tests/true_reports.rs
+++ b/components/report/tests/true_reports.rs
@@ -148,9 +148,9 @@
             }
             let mut naive: BTreeMap<String, ProxyAck> = BTreeMap::new();
             for ack in &acks {
-                let held = naive.entry(ack.proxy.clone()).or_insert_with(|| ack.clone());
-                if (ack.incarnation, ack.version) > (held.incarnation, held.version) {
-                    *held = ack.clone();
+                let newest = naive.entry(ack.proxy.clone()).or_insert_with(|| ack.clone());
+                if (ack.incarnation, ack.version) > (newest.incarnation, newest.version) {
+                    *newest = ack.clone();
                 }
             }
             let kept = read_acks(&store, PREFIX).await.expect("platform is up");
