--- a/components/ledger/src/commit.rs
+++ b/components/ledger/src/commit.rs
@@ -159,7 +159,7 @@
     ) -> Result<Option<LedgerEntry>, TryError> {
         let change_id = &pending.request.change_id;
         let found = match pending.absent_up_to {
-            Some(version) if head.first() <= version + 1 => head.find(change_id).cloned(),
+            Some(version) if head.first_version() <= version + 1 => head.find(change_id).cloned(),
             _ => self.find_entry(head, change_id).await?,
         };
         pending.absent_up_to = Some(head.root.version);
@@ -190,7 +190,7 @@
         let record = record_of(request, head.root.version + 1, pending.now);
         let entry = LedgerEntry { record: record.clone(), digest: pending.digest.clone() };
         let moved_count = head.overflow(&self.settings).len();
-        let head = head.next(tree.hash(), entry, moved_count);
+        let head = head.after_commit(tree.hash(), entry, moved_count);
         snapshot.root = head.root.clone();
         Ok(CommitPlan { snapshot, tree, record, moved_count, head })
     }
@@ -210,7 +210,7 @@
             return Ok(());
         }
         // The last change of the subtree may have left the tail; it is reported nevertheless.
-        let entries = match head.first() {
+        let entries = match head.first_version() {
             first if last_change < first => self.read_entries(head, last_change, 1).await?,
             _ => head.tail.clone(),
         };
--- a/components/ledger/src/head.rs
+++ b/components/ledger/src/head.rs
@@ -35,7 +35,7 @@
 
 impl LedgerHead {
     /// Returns the first version in the tail, or one past the newest version if the tail is empty.
-    pub fn first(&self) -> Version {
+    pub fn first_version(&self) -> Version {
         self.tail.first().map_or(self.root.version + 1, |entry| entry.record.version)
     }
 
@@ -60,7 +60,12 @@
 
     /// Returns the head that results from committing `entry` after `moved_count` entries have
     /// moved to history.
-    pub fn next(&self, tree_hash: ContentHash, entry: LedgerEntry, moved_count: usize) -> Self {
+    pub fn after_commit(
+        &self,
+        tree_hash: ContentHash,
+        entry: LedgerEntry,
+        moved_count: usize,
+    ) -> Self {
         let record = entry.record.clone();
         let mut root = self.root.clone();
         root.version = record.version;
@@ -84,9 +89,9 @@
     /// Returns [`CorruptData::BrokenTail`] if it has one.
     pub fn check(&self) -> Result<(), CorruptData> {
         let version = self.root.version;
-        let expected_versions = (self.first()..=version).collect::<Vec<_>>();
+        let expected_versions = (self.first_version()..=version).collect::<Vec<_>>();
         let is_gapless = self.tail.iter().map(|entry| entry.record.version).eq(expected_versions);
-        let is_aligned = self.tail.is_empty() || is_chunk_start(self.first());
+        let is_aligned = self.tail.is_empty() || is_chunk_start(self.first_version());
         let is_described = self.tail.last().map(|entry| &entry.record) == self.root.change.as_ref();
         match is_gapless && is_aligned && is_described && (version == 0) == self.tail.is_empty() {
             true => Ok(()),
--- a/components/ledger/src/read.rs
+++ b/components/ledger/src/read.rs
@@ -106,7 +106,7 @@
         let mut entries = Vec::new();
         let from = from.max(1);
         let mut start = chunk_start(from);
-        while start < head.first() && entries.len() < most {
+        while start < head.first_version() && entries.len() < most {
             let chunk = self.read_chunk(start).await?;
             entries.extend(chunk.into_iter().filter(|entry| entry.record.version >= from));
             start += CHUNK_RECORDS as Version;
--- a/components/ledger/tests/head_size.rs
+++ b/components/ledger/tests/head_size.rs
@@ -32,7 +32,7 @@
         assert!(serde_json::to_string(&record).expect("JSON").len() <= MAX_RECORD_BYTES);
         let moved_count = head.overflow(&settings).len();
         let entry = LedgerEntry { record, digest: content_hash(b"") };
-        head = head.next(content_hash(b""), entry, moved_count);
+        head = head.after_commit(content_hash(b""), entry, moved_count);
         head.check().expect("a tail without a gap");
         largest = largest.max(serde_json::to_string(&head).expect("JSON").len());
     }
--- a/components/ledger/tests/naive/mod.rs
+++ b/components/ledger/tests/naive/mod.rs
@@ -91,7 +91,8 @@
         let key = format!("sapphirekeel/trees/{}", tree.hash());
         let _ = self.store.inner.create(&key, serde_json::to_string(tree).expect("JSON")).await;
         let record = record_of(request, head.root.version + 1, 7);
-        let next = head.next(tree.hash(), LedgerEntry { record: record.clone(), digest }, 0);
+        let next =
+            head.after_commit(tree.hash(), LedgerEntry { record: record.clone(), digest }, 0);
         let next = serde_json::to_string(&next).expect("JSON");
         match revision {
             _ if !self.is_conditional => self.store.put_blindly(HEAD, next).await?,
--- a/components/member/src/table.rs
+++ b/components/member/src/table.rs
@@ -36,7 +36,7 @@
     /// The record outranked the one of this daemon, which refuted it with a greater one.
     Refuted,
     /// Another process uses the name of this daemon, and was outranked too often.
-    Clash,
+    NameConflict,
 }
 
 /// The records of all daemons, by name.
@@ -223,7 +223,7 @@
             }
             _ => {
                 log::error!("member: another process uses the daemon name {}.", self.own);
-                MergeOutcome::Clash
+                MergeOutcome::NameConflict
             }
         }
     }
--- a/components/member/tests/record_merge.rs
+++ b/components/member/tests/record_merge.rs
@@ -144,7 +144,7 @@
         refutations += usize::from(second.merge(first.own().clone()) == MergeOutcome::Refuted);
     }
     assert!(refutations <= 16, "{refutations} refutations");
-    assert_eq!(first.merge(second.own().clone()), MergeOutcome::Clash);
+    assert_eq!(first.merge(second.own().clone()), MergeOutcome::NameConflict);
 }
 
 // A suspicion reaches the daemon that it is about, which runs.
