--- a/components/proxy/src/answer.rs
+++ b/components/proxy/src/answer.rs
@@ -1,4 +1,6 @@
-//! Answers of the daemon's own.
+//! Answers made by the daemon itself: refusals and errors. Each states whether the request ran, so
+//! that callers send nothing again that may run twice, and refusals spread the callers' retries
+//! over time.
 
 use std::time::Duration;
 
@@ -12,18 +14,19 @@
     outcome::{REASON_HEADER, RETRY_AFTER_MS_HEADER, RefusalKind, RequestOutcome},
 };
 
-/// Window in which callers return that a daemon sent away without a guard's advice. The same as
-/// that of guards: callers refused in one burst must not come back in one.
-const RETURN_WINDOW: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(3));
+/// Window over which the retries of callers are spread that a daemon refused without a guard's
+/// advice. The same as that of guards: callers refused in one burst must not return in one burst.
+const RETRY_AFTER_WINDOW: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(3));
 
-/// Bytes of a server's failure that are kept while the request is tried again: any error text.
-const KEPT_BYTES: usize = 64 * 1024;
+/// Largest body of a server's failure that is kept while the request is tried again, in bytes:
+/// enough for any error text.
+const MAX_BUFFERED_BYTES: usize = 64 * 1024;
 
-/// An answer of the daemon's own in the place of an error.
-pub(crate) type OwnAnswer = Box<Response<ProxyBody>>;
+/// An answer made by the daemon in place of a result.
+pub(crate) type DaemonAnswer = Box<Response<ProxyBody>>;
 
-/// Makes an answer of the daemon's own.
-pub(crate) fn own_answer(
+/// Creates an answer made by the daemon itself.
+pub(crate) fn daemon_answer(
     status: StatusCode,
     outcome: RequestOutcome,
     kind: RefusalKind,
@@ -38,11 +41,13 @@
     response
 }
 
-/// Makes a refusal of a request that did not run, with the time after which it may return.
-pub(crate) fn refuse_until(kind: RefusalKind, retry_after: Duration) -> Response<ProxyBody> {
-    let mut response = own_answer(status_of(kind), RequestOutcome::NotRun, kind);
+/// Creates a refusal of a request that did not run, with the time after which the caller may
+/// retry.
+pub(crate) fn refuse_with_delay(kind: RefusalKind, retry_after: Duration) -> Response<ProxyBody> {
+    let mut response = daemon_answer(status_of(kind), RequestOutcome::NotRun, kind);
     let millis = u64::try_from(retry_after.as_millis()).unwrap_or(u64::MAX);
-    // Rounded to the nearest second, the header's unit, or the spread would be lost upwards.
+    // Rounded to the nearest second, the header's unit; rounding up would bunch the spread
+    // retries.
     let seconds = millis.saturating_add(500) / 1000;
     let headers = response.headers_mut();
     headers.insert(header::RETRY_AFTER, HeaderValue::from(seconds));
@@ -50,33 +55,38 @@
     response
 }
 
-/// Makes a refusal of a request that did not run, with a spread time to return.
+/// Creates a refusal of a request that did not run, with a random retry time in
+/// [`RETRY_AFTER_WINDOW`].
 pub(crate) fn refuse(kind: RefusalKind) -> Response<ProxyBody> {
-    refuse_until(kind, draw_between(RETURN_WINDOW.0, RETURN_WINDOW.1, &mut rand::rng()))
+    refuse_with_delay(
+        kind,
+        draw_between(RETRY_AFTER_WINDOW.0, RETRY_AFTER_WINDOW.1, &mut rand::rng()),
+    )
 }
 
-/// Makes the answer to a request that may have run, or whose answer is of no use.
-pub(crate) fn lost_answer(kind: RefusalKind, outcome: RequestOutcome) -> Response<ProxyBody> {
+/// Creates the answer to a request that may have run or whose answer cannot be used.
+pub(crate) fn error_answer(kind: RefusalKind, outcome: RequestOutcome) -> Response<ProxyBody> {
     let status = match kind {
         RefusalKind::DeadlinePassed => StatusCode::GATEWAY_TIMEOUT,
         RefusalKind::AlreadyRan | RefusalKind::AlreadyClaimed => StatusCode::CONFLICT,
         _ => StatusCode::BAD_GATEWAY,
     };
-    own_answer(status, outcome, kind)
+    daemon_answer(status, outcome, kind)
 }
 
-/// Reads an answer to its end, so that it can be delivered later and holds neither a server's slot nor a
-/// connection meanwhile. Nothing where it is large or breaks off.
-pub(crate) async fn keep_answer(response: Response<ProxyBody>) -> Option<Response<ProxyBody>> {
+/// Reads an answer to its end, so that it can be delivered later and occupies neither a server's
+/// slot nor a connection meanwhile. Returns `None` if it is larger than [`MAX_BUFFERED_BYTES`] or
+/// breaks off.
+pub(crate) async fn buffer_answer(response: Response<ProxyBody>) -> Option<Response<ProxyBody>> {
     let (parts, body) = response.into_parts();
-    let whole = Limited::new(body, KEPT_BYTES).collect().await.ok()?;
+    let whole = Limited::new(body, MAX_BUFFERED_BYTES).collect().await.ok()?;
     Some(Response::from_parts(parts, whole_body(whole.to_bytes())))
 }
 
-/// Gives the status of a refusal.
+/// Returns the HTTP status of a refusal.
 ///
 /// A quarantined request gets 422 and not 503: clients and proxies take 503 as an invitation to
-/// send again, which is what brought the servers down.
+/// send again, which is what crashed the servers.
 fn status_of(kind: RefusalKind) -> StatusCode {
     match kind {
         RefusalKind::Quarantined => StatusCode::UNPROCESSABLE_ENTITY,
--- a/components/proxy/src/attempt.rs
+++ b/components/proxy/src/attempt.rs
@@ -1,4 +1,6 @@
-//! Attempts to have a request answered, one after the other.
+//! Attempts to get a request answered: chooses an endpoint, sends, evaluates the answer and
+//! decides on a retry. A retry happens only where the request cannot run twice by it and the retry
+//! budget allows it, so that failures do not multiply the load.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,28 +16,28 @@
 use tokio::time::Instant;
 
 use crate::{
-    answer::{keep_answer, lost_answer, own_answer, refuse},
-    attempt_log::{AttemptLog, RunningAttempt},
+    answer::{buffer_answer, daemon_answer, error_answer, refuse},
+    attempt_history::{AttemptHistory, RunningAttempt},
+    attempt_record::AttemptTarget,
     body::{CheckedBody, ProxyBody},
     call::{AttemptTerms, GuardCall},
     clock::process_now,
-    context::{ForwardContext, count_own},
+    context::{ForwardContext, count_own_refusal},
     entry::EntryRequest,
-    guard::pass,
+    entry_answer::EndpointCall,
+    guard::forward_to_server,
     hints::ReadHints,
     outcome::{RefusalKind, RequestOutcome},
-    passed::OpenCall,
     peers::PeerError,
     table::{TableEndpoint, TableService},
-    tries::TryTarget,
-    watched::WatchedBody,
+    tracked_body::TrackedBody,
 };
 
-/// An attempt without an answer that the caller wants.
+/// An attempt whose answer the caller should not get if another attempt can do better.
 struct AttemptFailure {
     response: Response<ProxyBody>,
     outcome: RunOutcome,
-    /// Why a daemon refused it, none where a server answered.
+    /// Why a daemon refused it; `None` if a server answered.
     kind: Option<RefusalKind>,
 }
 
@@ -44,79 +46,90 @@
     Failed(AttemptFailure),
 }
 
-/// Tries endpoints until one answers or trying on would do harm.
+/// Tries endpoints until one answers or a further attempt would do harm.
 pub(crate) async fn answer_request(
     context: &ForwardContext,
     service: &TableService,
     request: &mut EntryRequest,
-    log: &mut AttemptLog,
+    history: &mut AttemptHistory,
     deadline: Instant,
 ) -> Response<ProxyBody> {
     service.budget.record_attempt();
     service.failure_budget.record_attempt();
     let mut last = None;
     loop {
-        let Some(placed) = place(service, request, log) else {
-            if log.search.begin_queueing() {
+        let Some(placed) = choose_endpoint(service, request, history) else {
+            if history.search.begin_queueing() {
                 continue;
             }
-            log.gave_up = Some(GiveUpReason::NoEndpoint);
-            return last.unwrap_or_else(|| count_own(context, refuse(RefusalKind::NoEndpoint)));
+            history.gave_up = Some(GiveUpReason::NoEndpoint);
+            return last
+                .unwrap_or_else(|| count_own_refusal(context, refuse(RefusalKind::NoEndpoint)));
         };
         let elapsed = request.began.elapsed();
-        let terms = match request.call.descend(elapsed, log.retries) {
+        let terms = match request.call.descend(elapsed, history.retries) {
             Ok(context) => AttemptTerms { context, elapsed, most_wait: placed.most_wait() },
-            Err(err) => return last.unwrap_or_else(|| count_own(context, refuse_descent(err))),
+            Err(err) => {
+                return last.unwrap_or_else(|| count_own_refusal(context, refuse_descent(err)));
+            }
         };
         let (Some(endpoint), Some(body)) =
             (service.endpoints.get(&placed.endpoint()), request.body.take())
         else {
-            return last.unwrap_or_else(|| count_own(context, refuse(RefusalKind::NoEndpoint)));
+            return last
+                .unwrap_or_else(|| count_own_refusal(context, refuse(RefusalKind::NoEndpoint)));
         };
         let id = placed.endpoint();
-        let target = TryTarget::new(endpoint);
-        log.running = Some(RunningAttempt { target, placed, began: Instant::now() });
+        let target = AttemptTarget::new(endpoint);
+        history.running = Some(RunningAttempt { target, placed, began: Instant::now() });
         let message = attempt_message(context, request, body, service, endpoint, &terms);
-        let response = send(context, endpoint, message).await;
+        let response = send_attempt(context, endpoint, message).await;
         let hints = ReadHints::read(response.headers());
-        log.note(&response, &hints);
-        note_hints(service, id, &hints);
-        note_size(service, request, &response);
+        history.record_answer(&response, &hints);
+        record_hints(service, id, &hints);
+        record_size(service, request, &response);
         if RefusalKind::read(response.headers()) == Some(RefusalKind::Busy) {
-            let took = log.running.take().map(|running| running.began.elapsed());
-            log.search.note_busy(id, took.unwrap_or_default(), request.traits.goal);
+            let took = history.running.take().map(|running| running.began.elapsed());
+            history.search.note_busy(id, took.unwrap_or_default(), request.traits.goal);
             last = Some(response);
             continue;
         }
-        log.search.note_tried(id);
-        let failure = match judge(context, service, request, log, (response, hints), deadline) {
+        history.search.note_tried(id);
+        let failure = match evaluate_answer(
+            context,
+            service,
+            request,
+            history,
+            (response, hints),
+            deadline,
+        ) {
             AttemptEnd::Answered(response) => return response,
             AttemptEnd::Failed(failure) => failure,
         };
-        match next_step(context, service, request, log, &failure) {
+        match next_step(context, service, request, history, &failure) {
             RetryVerdict::GiveUp(reason) => {
-                log.gave_up = Some(reason);
+                history.gave_up = Some(reason);
                 return failure.response;
             }
-            RetryVerdict::Move => log.moves += 1,
+            RetryVerdict::Move => history.moves += 1,
             RetryVerdict::Retry(wait) => {
                 context.counters.count_retry();
-                log.retries += 1;
+                history.retries += 1;
                 tokio::time::sleep(wait).await;
             }
         }
         last = match RefusalKind::read(failure.response.headers()) {
             Some(_) => Some(failure.response),
             None => {
-                log.kept = keep_answer(failure.response).await;
+                history.kept_failure = buffer_answer(failure.response).await;
                 None
             }
         };
     }
 }
 
-/// Notes what an endpoint's guard says of its load.
-fn note_hints(service: &TableService, id: EndpointId, hints: &ReadHints) {
+/// Passes the guard's hints about an endpoint on to placement.
+fn record_hints(service: &TableService, id: EndpointId, hints: &ReadHints) {
     let now = process_now();
     if let Some(percent) = hints.load {
         service.placement.hint(id, f64::from(percent.min(100)) / 100.0, now);
@@ -124,13 +137,13 @@
     if let Some(wait) = hints.wait {
         service.placement.note_wait(id, wait, now);
     }
-    if let Some(permille) = hints.failing {
+    if let Some(permille) = hints.failure_permille {
         service.placement.note_failing(id, f64::from(permille) / 1000.0, now);
     }
 }
 
-/// Notes how large the answers of a kind of work are, where their length is told.
-fn note_size(service: &TableService, request: &EntryRequest, response: &Response<ProxyBody>) {
+/// Records the size of an answer for its kind of work, if its length is known.
+fn record_size(service: &TableService, request: &EntryRequest, response: &Response<ProxyBody>) {
     if let Some(bytes) =
         response.body().size_hint().exact().filter(|_| response.status().is_success())
     {
@@ -138,13 +151,19 @@
     }
 }
 
-fn place(service: &TableService, request: &EntryRequest, log: &AttemptLog) -> Option<PlacedCall> {
+/// Chooses an endpoint for the next attempt; `None` if no endpoint is left.
+fn choose_endpoint(
+    service: &TableService,
+    request: &EntryRequest,
+    history: &AttemptHistory,
+) -> Option<PlacedCall> {
     let may_probe = request.traits.is_repeatable && request.body.is_whole();
-    let exclude = log.search.excluded();
+    let exclude = history.search.excluded();
     let may_queue_at_once = request.traits.class == WorkClass::Long || !request.body.is_whole();
-    let wants_slot = log.search.wants_slot(service.placement.settings().order, may_queue_at_once);
+    let wants_slot =
+        history.search.wants_slot(service.placement.settings().order, may_queue_at_once);
     let class = request.traits.class;
-    let goal = request.goal_left();
+    let goal = request.goal_remaining();
     let work = request.traits.work;
     let bytes = request.body.sample().len() as u64 + service.placement.usual_size(work);
     let wanted =
@@ -152,16 +171,18 @@
     service.placement.choose(&wanted, process_now(), &mut rand::rng()).ok()
 }
 
+/// Returns the refusal of a call that may not be passed on: too many hops or too little time.
 fn refuse_descent(err: DescendError) -> Response<ProxyBody> {
     match err {
         DescendError::HopLimit(hops) => {
-            log::warn!("proxy: a call has taken {hops} hops, which suggests a loop of routes.");
+            log::warn!("proxy: a call has taken {hops} hops; the routes may form a loop.");
             refuse(RefusalKind::HopLimit)
         }
         DescendError::Expired(_) => refuse(RefusalKind::DeadlineTooNear),
     }
 }
 
+/// The request of one attempt, with what the guard is told about it.
 struct AttemptMessage {
     request: Request<ProxyBody>,
     call: GuardCall,
@@ -181,15 +202,15 @@
     AttemptMessage { request: request.head().map(|()| body), call }
 }
 
-/// Sends an attempt and gives the guard's answer, or one of our own that tells what is known.
-async fn send(
+/// Sends an attempt and returns the guard's answer, or one made here that states what is known.
+async fn send_attempt(
     context: &ForwardContext,
     endpoint: &TableEndpoint,
     message: AttemptMessage,
 ) -> Response<ProxyBody> {
     let AttemptMessage { request, call } = message;
     if endpoint.is_own {
-        return pass(Arc::clone(&context.guard), request, call, None).await;
+        return forward_to_server(Arc::clone(&context.guard), request, call, None).await;
     }
     match context.peers.send(request, call, &endpoint.guard).await {
         Ok(response) => {
@@ -197,79 +218,84 @@
             response.map(|body| CheckedBody::new(body, version).boxed_unsync())
         }
         Err(PeerError::Unsent(err)) => {
-            log::debug!("proxy: {} cannot be reached: {err}.", endpoint.proxy);
-            count_own(context, refuse(RefusalKind::Unreachable))
+            log::debug!("proxy: daemon {} cannot be reached: {err}.", endpoint.proxy);
+            count_own_refusal(context, refuse(RefusalKind::Unreachable))
         }
         Err(PeerError::Lost(err)) => {
-            log::debug!("proxy: lost an answer of {}: {err}.", endpoint.proxy);
+            log::debug!(
+                "proxy: connection to daemon {} failed before the answer: {err}.",
+                endpoint.proxy
+            );
             let kind = RefusalKind::AnswerLost;
-            count_own(context, lost_answer(kind, RequestOutcome::Unknown))
+            count_own_refusal(context, error_answer(kind, RequestOutcome::Unknown))
         }
     }
 }
 
-/// Reads what an attempt ended in, and lets the endpoint's record know.
-fn judge(
+/// Evaluates the answer to an attempt and reports it to the endpoint's placement record.
+fn evaluate_answer(
     context: &ForwardContext,
     service: &TableService,
     request: &EntryRequest,
-    log: &mut AttemptLog,
+    history: &mut AttemptHistory,
     (response, hints): (Response<ProxyBody>, ReadHints),
     deadline: Instant,
 ) -> AttemptEnd {
-    let Some(running) = log.running.take() else {
+    let Some(running) = history.running.take() else {
         return AttemptEnd::Answered(response);
     };
-    if RefusalKind::read(response.headers()).is_some_and(RefusalKind::is_want_of_room) {
-        log.search.note_refused(running.began.elapsed());
+    if RefusalKind::read(response.headers()).is_some_and(RefusalKind::is_capacity_refusal) {
+        history.search.note_refused(running.began.elapsed());
     }
-    // An answer without the header comes from a layer below the guard, which may have passed it on.
+    // An answer without the header comes from a layer below the guard, which may have passed the
+    // request on.
     let outcome = RequestOutcome::read(response.headers()).unwrap_or(RequestOutcome::Unknown);
     let kind = RefusalKind::read(response.headers());
     let end = call_outcome(&response, outcome, kind);
-    // The time that the guard measured, so that distance does not count as slowness.
-    let latency = hints.ran.unwrap_or_else(|| running.began.elapsed());
+    // The time measured by the guard, so that distance does not count as slowness.
+    let latency = hints.service_time.unwrap_or_else(|| running.began.elapsed());
     let is_tried_again = request.traits.is_repeatable
-        && (is_trouble(response.status()) || may_do_better(service, request, response.status()));
+        && (is_unavailable(response.status())
+            || is_worth_retrying(service, request, response.status()));
     let is_wanted = outcome == RequestOutcome::Ran && !is_tried_again;
     if is_wanted || kind == Some(RefusalKind::AlreadyRan) {
         let (placed, counters) = (running.placed, context.counters.clone());
-        let call = OpenCall { placed, outcome: end, latency, counters };
+        let call = EndpointCall { placed, outcome: end, latency, counters };
         let until = Some(deadline + BODY_GRACE);
-        let body = |inner| WatchedBody::new(inner, call, until).boxed_unsync();
+        let body = |inner| TrackedBody::new(inner, call, until).boxed_unsync();
         return AttemptEnd::Answered(response.map(body));
     }
     if let Some(end) = end {
         running.placed.finish(end, latency, process_now());
     }
-    log.may_have_run |= outcome != RequestOutcome::NotRun;
+    history.may_have_run |= outcome != RequestOutcome::NotRun;
     if outcome != RequestOutcome::NotRun || kind == Some(RefusalKind::TurnedAway) {
-        log.arrivals += 1;
+        history.server_attempts += 1;
     }
     let response = match request.body.has_overrun() {
-        true => own_answer(StatusCode::PAYLOAD_TOO_LARGE, outcome, RefusalKind::TooLarge),
+        true => daemon_answer(StatusCode::PAYLOAD_TOO_LARGE, outcome, RefusalKind::TooLarge),
         false => response,
     };
-    AttemptEnd::Failed(AttemptFailure { response, outcome: outcome.to_run(kind), kind })
+    AttemptEnd::Failed(AttemptFailure { response, outcome: outcome.run_outcome(kind), kind })
 }
 
-/// Tells whether a failure that a server answered is worth a further attempt. A server that fails one
-/// request of many is sound, and the same request does well at the next one; a caller that gets the failure
-/// would have to come back for it.
-fn may_do_better(service: &TableService, request: &EntryRequest, status: StatusCode) -> bool {
+/// Returns whether a failure that a server answered is worth a further attempt. A server that
+/// fails one request of many is healthy, and the same request succeeds at the next server; a
+/// caller that received the failure would have to send the request again itself.
+fn is_worth_retrying(service: &TableService, request: &EntryRequest, status: StatusCode) -> bool {
     status == StatusCode::INTERNAL_SERVER_ERROR
         && service.budget.settings().again_after_failure
         && can_meet_goal(service, request)
         && service.failure_budget.take(process_now())
 }
 
-/// Tells whether a further attempt would likely be in time.
+/// Returns whether a further attempt would likely meet the response-time goal.
 fn can_meet_goal(service: &TableService, request: &EntryRequest) -> bool {
     let usual = service.placement.usual_work(request.traits.work, process_now());
-    request.goal_left().is_some_and(|goal| usual <= goal)
+    request.goal_remaining().is_some_and(|goal| usual <= goal)
 }
 
-/// Tells what an answer says of the endpoint, or nothing where it speaks of the request alone.
+/// Returns what an answer says about the endpoint; `None` if it concerns the request alone.
 fn call_outcome(
     response: &Response<ProxyBody>,
     outcome: RequestOutcome,
@@ -277,76 +303,76 @@
 ) -> Option<CallOutcome> {
     match (kind, outcome) {
         (None, RequestOutcome::Ran) => Some(match response.status() {
-            // A server that sheds load is loaded, not broken.
+            // A server that sheds load is overloaded, not broken.
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => CallOutcome::Refused,
             status if status.is_server_error() => CallOutcome::Failure,
             _ => CallOutcome::Success,
         }),
         (Some(RefusalKind::Draining), _) => Some(CallOutcome::Leaving),
-        // Not final: a server that was paused comes back as the same process.
+        // Not final: a paused server comes back as the same process.
         (
             Some(
                 RefusalKind::ServerGone | RefusalKind::Unreachable | RefusalKind::ServerUnreachable,
             ),
             _,
         ) => Some(CallOutcome::Unreachable),
-        (Some(kind), RequestOutcome::NotRun) if !kind.is_local() => None,
+        (Some(kind), RequestOutcome::NotRun) if !kind.is_endpoint_specific() => None,
         (Some(RefusalKind::AlreadyRan | RefusalKind::AlreadyClaimed), _) => None,
         (_, RequestOutcome::NotRun) => Some(CallOutcome::Refused),
         _ => Some(CallOutcome::Failure),
     }
 }
 
-/// Tells whether a server's answer means that it could not do the work now.
-fn is_trouble(status: StatusCode) -> bool {
+/// Returns whether a status means that the server cannot do the work now.
+fn is_unavailable(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::BAD_GATEWAY | StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT
     )
 }
 
-/// Decides whether there is a next attempt, and when.
+/// Decides whether to make a further attempt, and when.
 fn next_step(
     context: &ForwardContext,
     service: &TableService,
     request: &EntryRequest,
-    log: &AttemptLog,
+    history: &AttemptHistory,
     failure: &AttemptFailure,
 ) -> RetryVerdict {
-    // A server that is too slow for what is left says nothing of a faster one.
+    // A server that is too slow for the remaining time says nothing about a faster one.
     let may_move = failure.kind == Some(RefusalKind::DeadlineTooNear)
-        && log.moves < service.budget.settings().free_moves
+        && history.moves < service.budget.settings().free_moves
         && can_meet_goal(service, request);
-    if !failure.kind.is_none_or(RefusalKind::is_local) && !may_move {
+    if !failure.kind.is_none_or(RefusalKind::is_endpoint_specific) && !may_move {
         return RetryVerdict::GiveUp(GiveUpReason::Final);
     }
     if !request.body.is_whole() {
         return RetryVerdict::GiveUp(GiveUpReason::BodySent);
     }
-    if failure.kind.is_some_and(RefusalKind::is_want_of_room)
-        && log.search.is_long(request.traits.goal)
+    if failure.kind.is_some_and(RefusalKind::is_capacity_refusal)
+        && history.search.is_long(request.traits.goal)
     {
         return RetryVerdict::GiveUp(GiveUpReason::RefusedLong);
     }
-    if request.max_attempts.is_some_and(|most| log.arrivals >= most) {
+    if request.max_attempts.is_some_and(|most| history.server_attempts >= most) {
         return RetryVerdict::GiveUp(GiveUpReason::ServersSpent);
     }
     let attempt = FailedAttempt {
         outcome: failure.outcome,
         is_repeatable: request.traits.is_repeatable,
-        own_retries: log.retries,
-        moves: log.moves,
+        own_retries: history.retries,
+        moves: history.moves,
         retried_above: request.call.retried_above,
-        remaining: request.left(),
+        remaining: request.remaining(),
         expected: Duration::ZERO,
     };
     let verdict = may_retry(&attempt, &service.budget, process_now(), &mut rand::rng());
     match verdict {
         RetryVerdict::GiveUp(reason) => {
             context.counters.count_denied();
-            service.note_budget(reason == GiveUpReason::BudgetSpent);
+            service.record_budget_state(reason == GiveUpReason::BudgetSpent);
         }
-        RetryVerdict::Retry(_) => service.note_budget(false),
+        RetryVerdict::Retry(_) => service.record_budget_state(false),
         RetryVerdict::Move => {}
     }
     verdict
--- a/components/proxy/src/tries.rs
+++ b/components/proxy/src/attempt_record.rs
@@ -1,4 +1,4 @@
-//! One attempt at one endpoint, for the log.
+//! Record of one attempt at one endpoint, as the `tries` key of the request's log line shows it.
 
 use std::{fmt, sync::Arc, time::Duration};
 
@@ -12,14 +12,14 @@
     table::TableEndpoint,
 };
 
-/// Where an attempt went.
+/// Daemon and server that an attempt was sent to.
 #[derive(Clone, Debug)]
-pub(crate) struct TryTarget {
+pub(crate) struct AttemptTarget {
     proxy: ProxyId,
     server: Arc<str>,
 }
 
-impl TryTarget {
+impl AttemptTarget {
     pub(crate) fn new(endpoint: &TableEndpoint) -> Self {
         Self { proxy: endpoint.proxy.clone(), server: endpoint.server.clone() }
     }
@@ -27,59 +27,59 @@
 
 /// How an attempt ended.
 #[derive(Clone, Debug)]
-enum TryEnd {
+enum RecordedEnd {
     Answered {
         status: StatusCode,
         kind: Option<RefusalKind>,
         /// The guard's load in percent when it answered.
         load: Option<u32>,
-        /// Time at the guard and the server; the rest was spent on the way.
-        held: Option<Duration>,
-        /// What a refusal was decided by.
+        /// Time at the guard and the server; the rest is transit.
+        guard_time: Option<Duration>,
+        /// Figures that a refusal was based on.
         figures: Option<String>,
     },
     /// There was no answer when the request ended.
-    Open,
+    Unanswered,
 }
 
-/// One attempt and its end.
+/// One attempt and its result.
 #[derive(Clone, Debug)]
-pub(crate) struct TryNote {
-    target: TryTarget,
-    end: TryEnd,
+pub(crate) struct AttemptRecord {
+    target: AttemptTarget,
+    end: RecordedEnd,
     took: Duration,
 }
 
-impl TryNote {
-    /// Notes an attempt that was answered.
+impl AttemptRecord {
+    /// Creates the record of an attempt that was answered.
     pub(crate) fn answered(
-        target: TryTarget,
+        target: AttemptTarget,
         response: &Response<ProxyBody>,
         hints: &ReadHints,
         took: Duration,
     ) -> Self {
         let headers = response.headers();
-        let end = TryEnd::Answered {
+        let end = RecordedEnd::Answered {
             status: response.status(),
             kind: RefusalKind::read(headers),
             load: hints.load,
-            held: hints.held,
+            guard_time: hints.guard_time,
             figures: read_figures(headers).map(str::to_owned),
         };
         Self { target, end, took }
     }
 
-    /// Notes an attempt that has no answer.
-    pub(crate) fn open(target: TryTarget, took: Duration) -> Self {
-        Self { target, end: TryEnd::Open, took }
+    /// Creates the record of an attempt that has no answer.
+    pub(crate) fn unanswered(target: AttemptTarget, took: Duration) -> Self {
+        Self { target, end: RecordedEnd::Unanswered, took }
     }
 }
 
-impl fmt::Display for TryNote {
+impl fmt::Display for AttemptRecord {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(out, "{}/{} ", self.target.proxy, self.target.server)?;
         match &self.end {
-            TryEnd::Answered { status, kind, load, held, figures } => {
+            RecordedEnd::Answered { status, kind, load, guard_time, figures } => {
                 write!(out, "{}", status.as_u16())?;
                 if let Some(kind) = kind {
                     write!(out, " {}", kind.as_str())?;
@@ -87,14 +87,14 @@
                 if let Some(load) = load {
                     write!(out, " load {load}%")?;
                 }
-                if let Some(held) = held {
-                    write!(out, " held {}ms", held.as_millis())?;
+                if let Some(guard_time) = guard_time {
+                    write!(out, " held {}ms", guard_time.as_millis())?;
                 }
                 if let Some(figures) = figures {
                     write!(out, " ({figures})")?;
                 }
             }
-            TryEnd::Open => write!(out, "no answer")?,
+            RecordedEnd::Unanswered => write!(out, "no answer")?,
         }
         write!(out, " {}ms", self.took.as_millis())
     }
--- a/components/proxy/src/body.rs
+++ b/components/proxy/src/body.rs
@@ -30,7 +30,7 @@
     DeadlinePassed,
 }
 
-/// Makes a body of bytes at hand.
+/// Creates a body of bytes at hand.
 pub(crate) fn whole_body(bytes: Bytes) -> ProxyBody {
     match bytes.is_empty() {
         true => Empty::new().map_err(|never| match never {}).boxed_unsync(),
--- a/components/proxy/src/call.rs
+++ b/components/proxy/src/call.rs
@@ -1,4 +1,5 @@
-//! What the daemon of entry tells a guard about a request.
+//! The description of a request that the entry daemon sends to a guard, and the token that proves
+//! the sender to be a daemon of the fleet.
 
 use std::{sync::Arc, time::Duration};
 
@@ -16,11 +17,11 @@
 use sk_model::WorkClass;
 use subtle::ConstantTimeEq;
 
-use crate::clock::{clock_id, trip_now, whole_micros};
+use crate::clock::{clock_id, transit_now, whole_micros};
 
 const CALL_HEADER: &str = "x-sapphirekeel-call";
 const TOKEN_HEADER: &str = "x-sapphirekeel-token";
-/// What the token is made over, so that no other use of the secret gives the same bytes.
+/// Input of the token's MAC, so that no other use of the secret yields the same bytes.
 const TOKEN_PURPOSE: &[u8] = b"sapphirekeel guard listener";
 
 /// A request for the backend server beside a guard.
@@ -28,40 +29,42 @@
 pub(crate) struct GuardCall {
     /// Service.
     pub(crate) service: Arc<str>,
-    /// The server's process that was chosen. Another one at the same place refuses the request: it
-    /// was placed by what its predecessor could take.
+    /// The chosen process of the server. Another process at the same place refuses the request,
+    /// because placement was based on the state of the chosen one.
     pub(crate) server: Arc<str>,
-    /// Service beside the daemon of entry, for the server to know where the request began.
+    /// Service beside the entry daemon, so that the server knows where the request originates.
     pub(crate) from: Option<Arc<str>>,
-    /// Microseconds left.
+    /// Remaining time in microseconds.
     remaining_us: u64,
     hops: u8,
     retried: u8,
     /// Class of the work.
     pub(crate) class: WorkClass,
-    /// Whether it may run twice without harm.
+    /// Whether the request may run twice without harm.
     pub(crate) is_repeatable: bool,
-    /// What a crash is remembered by.
+    /// Identifies the request in the quarantine after a crash.
     pub(crate) fingerprint: Fingerprint,
     team: TeamKey,
     caller: CallerKey,
-    /// Microseconds until the response-time goal ends, where there is one.
+    /// Microseconds until the response-time goal ends, if there is one.
     goal_us: Option<u64>,
-    /// Rank among the requests that wait.
+    /// Priority among queued requests.
     pub(crate) rank: u8,
-    /// What the service time depends on.
+    /// Kind of work, by which service times are estimated.
     pub(crate) work: WorkKey,
-    /// Microseconds that it may wait for a slot, none for any time.
+    /// Longest wait for a slot in microseconds, unbounded if `None`.
     most_wait_us: Option<u64>,
-    /// The sender's clock, and the microsecond by it at which this was sent; zero until it departs.
+    /// The sender's clock, and the time of sending by it in microseconds; zero until the call is
+    /// sent.
     clock: ClockId,
     sent_us: u64,
-    /// The opening of the connection, on calls that closely follow it.
+    /// When the connection was opened, on calls sent shortly after that.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     opening: Option<CallOpening>,
 }
 
-/// The opening of a connection, in microseconds by the clock of the side that opened it.
+/// When a connection was opened and how long that took, in microseconds by the clock of the side
+/// that opened it.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 struct CallOpening {
     began_us: u64,
@@ -83,38 +86,38 @@
     }
 }
 
-/// Who a request is counted against.
+/// The team and caller that a request is counted against.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CallSource {
     pub(crate) team: TeamKey,
     pub(crate) caller: CallerKey,
 }
 
-/// What does not change between the attempts of one request.
+/// Properties shared by all attempts of one request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CallTraits {
     pub(crate) class: WorkClass,
     pub(crate) is_repeatable: bool,
     pub(crate) fingerprint: Fingerprint,
     pub(crate) source: CallSource,
-    /// Response-time goal of the route, from the arrival at the daemon of entry.
+    /// Response-time goal of the route, counted from the arrival at the entry daemon.
     pub(crate) goal: Option<Duration>,
     pub(crate) rank: u8,
     pub(crate) work: WorkKey,
 }
 
-/// What holds for one attempt only.
+/// Properties of a single attempt.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptTerms {
     pub(crate) context: CallContext,
     /// Time since the request arrived.
     pub(crate) elapsed: Duration,
-    /// How long it may wait for a slot, none for any time.
+    /// Longest wait for a slot, unbounded if `None`.
     pub(crate) most_wait: Option<Duration>,
 }
 
 impl GuardCall {
-    /// Describes one attempt.
+    /// Creates the call of one attempt.
     pub(crate) fn new(
         service: Arc<str>,
         server: Arc<str>,
@@ -146,32 +149,39 @@
         }
     }
 
-    /// Takes off the time that the call waited for a connection, and notes that it leaves now.
-    pub(crate) fn depart(&mut self, waited: Duration, opening: LinkOpening) {
-        let now = trip_now();
-        self.spend(waited);
+    /// Subtracts the time that the call waited for a connection, and stamps it with the current
+    /// time.
+    pub(crate) fn mark_sent(&mut self, waited: Duration, opening: LinkOpening) {
+        let now = transit_now();
+        self.deduct(waited);
         self.sent_us = whole_micros(now);
         self.opening = opening.is_followed_by(now).then(|| opening.into());
     }
 
-    /// Takes off what the call lost on its way behind other bytes, and gives how long that was.
-    /// `accepted_at` is when its connection was accepted, on the clock that goes on while suspended.
-    pub(crate) fn arrive(&mut self, clocks: &mut TripClocks, accepted_at: Duration) -> Duration {
+    /// Subtracts the time that the call was delayed in transit behind other bytes, and returns
+    /// that delay. `accepted_at` is when the guard accepted its connection, on the clock of
+    /// [`transit_now`], which also runs while the instance is suspended.
+    pub(crate) fn mark_received(
+        &mut self,
+        clocks: &mut TripClocks,
+        accepted_at: Duration,
+    ) -> Duration {
         if let Some(opening) = self.opening {
             clocks.note_opening(self.clock, opening.into(), accepted_at);
         }
-        let late = clocks.note(self.clock, Duration::from_micros(self.sent_us), trip_now());
-        self.spend(late);
-        late
+        let delay = clocks.note(self.clock, Duration::from_micros(self.sent_us), transit_now());
+        self.deduct(delay);
+        delay
     }
 
-    fn spend(&mut self, time: Duration) {
+    /// Subtracts a time from the remaining time and the response-time goal.
+    fn deduct(&mut self, time: Duration) {
         let micros = whole_micros(time);
         self.remaining_us = self.remaining_us.saturating_sub(micros);
         self.goal_us = self.goal_us.map(|goal| goal.saturating_sub(micros));
     }
 
-    /// Gives the context of the call at its arrival.
+    /// Returns the context of the call at its arrival.
     pub(crate) fn context(&self) -> CallContext {
         CallContext {
             remaining: Duration::from_micros(self.remaining_us),
@@ -180,25 +190,25 @@
         }
     }
 
-    /// Gives the time until the response-time goal ends.
+    /// Returns the time until the response-time goal ends, if there is one.
     pub(crate) fn goal(&self) -> Option<Duration> {
         self.goal_us.map(Duration::from_micros)
     }
 
-    /// Gives how long it may wait for a slot, none for any time.
+    /// Returns the longest wait for a slot, unbounded if `None`.
     pub(crate) fn most_wait(&self) -> Option<Duration> {
         self.most_wait_us.map(Duration::from_micros)
     }
 
-    /// Gives whom the request is counted against.
+    /// Returns the team and caller that the request is counted against.
     pub(crate) fn flow(&self) -> FlowKey {
         FlowKey { team: self.team, caller: self.caller }
     }
 
     /// Writes the call into a request's head.
     pub(crate) fn write(&self, headers: &mut HeaderMap) {
-        let text = serde_json::to_vec(self).expect("a call of plain fields can be written");
-        let value = HeaderValue::from_bytes(&text).expect("paths and numbers make a header");
+        let text = serde_json::to_vec(self).expect("a call of plain fields serializes");
+        let value = HeaderValue::from_bytes(&text).expect("JSON is a valid header value");
         headers.insert(HeaderName::from_static(CALL_HEADER), value);
     }
 
@@ -208,19 +218,20 @@
     }
 }
 
-/// What shows a guard that a request comes from a daemon of its fleet.
+/// Token that proves to a guard that a request comes from a daemon of its fleet.
 ///
-/// Anyone else who reaches the guard's listener could pass by routes, fairness and the check for
-/// repeats. The token is as safe as the network between instances, like all control traffic.
+/// Without it, anyone who reaches the guard's listener could bypass routes, fair shares and the
+/// duplicate check. The token is as safe as the network between instances, like all control
+/// traffic.
 #[derive(Clone, Debug)]
 pub struct GuardToken(HeaderValue);
 
 impl GuardToken {
-    /// Makes the token of a fleet from the secret that its daemons share.
+    /// Creates the token of a fleet from the secret that its daemons share.
     ///
     /// # Panics
     ///
-    /// Never: a MAC takes keys of any length and its hexadecimal form is a header's value.
+    /// Never: a MAC accepts keys of any length, and its hexadecimal form is a valid header value.
     pub fn new(secret: &str) -> Self {
         let mut mac = Hmac::<Sha256>::new_from_slice(secret.as_bytes()).expect("any key length");
         mac.update(TOKEN_PURPOSE);
@@ -234,7 +245,7 @@
         headers.insert(HeaderName::from_static(TOKEN_HEADER), self.0.clone());
     }
 
-    /// Compares the token of a request in constant time.
+    /// Returns whether the headers hold this token, compared in constant time.
     pub(crate) fn is_in(&self, headers: &HeaderMap) -> bool {
         let found = headers.get(TOKEN_HEADER).map_or(&b""[..], HeaderValue::as_bytes);
         self.0.as_bytes().ct_eq(found).into()
--- a/components/proxy/src/claim.rs
+++ b/components/proxy/src/claim.rs
@@ -10,7 +10,7 @@
 
 /// Longest wait for the note that a claimed request was not run. Beyond it the refusal goes out all
 /// the same: it is true, and a resend is then told "unknown", which is safe.
-const SETTLE_WAIT: Duration = Duration::from_millis(500);
+const SETTLE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Names a keyed request: no two requests that may both run have the same.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Hash)]
@@ -61,7 +61,7 @@
     /// Claims a request for an attempt, by the deadline.
     async fn claim(&self, key: &ClaimKey, attempt: AttemptId, deadline: Instant) -> ClaimVerdict;
 
-    /// Takes note of how an attempt ended. Also called for an attempt whose claim was given up
+    /// Records how an attempt ended. Also called for an attempt whose claim was given up
     /// before its verdict was known, then with [`ClaimOutcome::NotRun`]: an implementation must
     /// take that for a claim it never saw, and must not let that claim be granted later.
     async fn settle(&self, key: &ClaimKey, attempt: AttemptId, outcome: ClaimOutcome);
@@ -69,14 +69,14 @@
 
 /// A claim under way, settled when this is dropped, by whatever way the request ended. A claim that
 /// stayed open would answer every resend with "unknown" until it expires.
-pub(crate) struct ClaimHold {
+pub(crate) struct PendingClaim {
     gate: Arc<dyn ClaimGate>,
     key: ClaimKey,
     attempt: AttemptId,
     outcome: Option<ClaimOutcome>,
 }
 
-impl ClaimHold {
+impl PendingClaim {
     /// Claims a request.
     ///
     /// # Errors
@@ -89,14 +89,14 @@
     ) -> Result<Self, ClaimVerdict> {
         let attempt = rand::random();
         let outcome = Some(ClaimOutcome::NotRun);
-        let mut hold = Self { gate, key, attempt, outcome };
-        let verdict = hold.gate.claim(&hold.key, attempt, deadline).await;
+        let mut pending = Self { gate, key, attempt, outcome };
+        let verdict = pending.gate.claim(&pending.key, attempt, deadline).await;
         match verdict {
-            ClaimVerdict::Granted => Ok(hold),
+            ClaimVerdict::Granted => Ok(pending),
             verdict => {
                 // An unavailable platform may have taken the claim; it must not stay.
                 if verdict != ClaimVerdict::Unavailable {
-                    hold.outcome = None;
+                    pending.outcome = None;
                 }
                 Err(verdict)
             }
@@ -104,22 +104,22 @@
     }
 
     /// Sets what is known of the outcome by now.
-    pub(crate) fn set(&mut self, outcome: ClaimOutcome) {
+    pub(crate) fn set_outcome(&mut self, outcome: ClaimOutcome) {
         self.outcome = Some(outcome);
     }
 
     /// Waits a short time until it is noted that the request was not run, so that the retry which
     /// follows at another daemon is granted.
-    pub(crate) async fn give_back(mut self) {
+    pub(crate) async fn release_unrun(mut self) {
         self.outcome = None;
         let settle = self.gate.settle(&self.key, self.attempt, ClaimOutcome::NotRun);
-        if tokio::time::timeout(SETTLE_WAIT, settle).await.is_err() {
+        if tokio::time::timeout(SETTLE_TIMEOUT, settle).await.is_err() {
             log::info!("guard: a claim could not be given back in time.");
         }
     }
 }
 
-impl Drop for ClaimHold {
+impl Drop for PendingClaim {
     fn drop(&mut self) {
         let Some(outcome) = self.outcome.take() else { return };
         let (gate, key, attempt) = (self.gate.clone(), self.key.clone(), self.attempt);
--- a/components/proxy/src/clock.rs
+++ b/components/proxy/src/clock.rs
@@ -14,7 +14,7 @@
 static START: LazyLock<(Instant, Duration)> =
     LazyLock::new(|| (Instant::now(), Duration::from_secs(1)));
 
-/// Gives the time since about the start of this process, on the monotonic clock.
+/// Returns the time since about the start of this process, on the monotonic clock.
 pub fn process_now() -> Duration {
     START.0.elapsed() + START.1
 }
@@ -23,20 +23,20 @@
 /// server, which may well have other times, is not taken for this one.
 static CLOCK_ID: LazyLock<ClockId> = LazyLock::new(rand::random);
 
-/// Gives the name of this process's clock.
+/// Returns the name of this process's clock.
 pub(crate) fn clock_id() -> ClockId {
     *CLOCK_ID
 }
 
-/// Gives the time on a clock that goes on while the instance is suspended, for times that are compared
+/// Returns the time on a clock that goes on while the instance is suspended, for times that are compared
 /// with another daemon's.
-pub(crate) fn trip_now() -> Duration {
+pub(crate) fn transit_now() -> Duration {
     let time = clock_gettime(SystemClock::Boottime);
     // Never below zero: it counts from the system's start.
     Duration::new(time.tv_sec.unsigned_abs(), u32::try_from(time.tv_nsec).unwrap_or_default())
 }
 
-/// Gives a time in whole microseconds, as it goes over the wire.
+/// Returns a time in whole microseconds, as it goes over the wire.
 pub(crate) fn whole_micros(time: Duration) -> u64 {
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
--- a/components/proxy/src/context.rs
+++ b/components/proxy/src/context.rs
@@ -1,4 +1,4 @@
-//! What the request path needs of the daemon.
+//! Shared state that the daemon gives to the request path.
 
 use std::sync::{Arc, Mutex};
 
@@ -13,52 +13,53 @@
     peers::PeerClient, quarantine::QuarantineBoard, table::SharedTable, words::RequestWords,
 };
 
-/// What forwarding needs.
+/// Shared state of the entry side.
 pub struct ForwardContext {
-    /// The table in force.
+    /// The current routing table.
     pub table: SharedTable,
     /// Connections to other daemons' guards.
     pub peers: PeerClient,
-    /// The guard of this very daemon.
+    /// The guard of this daemon.
     pub guard: Arc<GuardContext>,
     /// Counts.
     pub counters: Arc<ProxyCounters>,
     /// Largest body of a request, in bytes.
     pub max_body_bytes: u64,
-    /// Headers that callers speak.
+    /// Translation of the headers that callers use.
     pub words: Arc<dyn RequestWords>,
-    /// Service beside this daemon, as the settings name it; servers are told where a request began.
+    /// Service beside this daemon, as its settings name it; servers receive it as the origin of a
+    /// request.
     pub own_service: OwnService,
 }
 
-/// The service beside a daemon, which changes with its settings.
+/// The service beside a daemon, which changes with the daemon's settings.
 pub type OwnService = Arc<ArcSwapOption<ServiceName>>;
 
-/// What the guard needs.
+/// Shared state of the guard side.
 pub struct GuardContext {
     /// Backend servers beside this daemon.
     pub servers: Arc<LocalServers>,
-    /// What daemons of the fleet show.
+    /// Token that the daemons of the fleet send.
     pub token: GuardToken,
     /// Requests that crash servers.
     pub quarantine: Arc<QuarantineBoard>,
-    /// Where keyed requests are claimed. Without one they are refused as not run, since nothing
-    /// could tell a second copy from the first.
+    /// Where keyed requests are claimed. If there is none, they are refused as not run, because
+    /// nothing could distinguish a second copy from the first.
     pub claims: Option<Arc<dyn ClaimGate>>,
     /// Counts.
     pub counters: Arc<ProxyCounters>,
-    /// Headers that the server speaks.
+    /// Translation of the headers that the server uses.
     pub words: Arc<dyn RequestWords>,
-    /// Calls of the server that failed, for the lines of the requests they were made for.
+    /// Failed calls of the server, for the log lines of the requests for which it made them.
     pub failed_calls: FailedCalls,
-    /// Clocks of the daemons that send here.
+    /// Clocks of the sending daemons, by which transit delays are estimated.
     pub trips: Mutex<TripClocks>,
-    /// By when this daemon has to have answered, once it stops.
+    /// Time by which this daemon must have answered, once it stops.
     pub drain: Arc<DrainClock>,
 }
 
-/// Counts an answer that this daemon made as entry.
-pub(crate) fn count_own(
+/// Counts a refusal that this daemon made as the entry daemon, and returns it.
+pub(crate) fn count_own_refusal(
     context: &ForwardContext,
     response: Response<ProxyBody>,
 ) -> Response<ProxyBody> {
--- a/components/proxy/src/counters.rs
+++ b/components/proxy/src/counters.rs
@@ -60,12 +60,12 @@
 }
 
 impl ProxyCounters {
-    /// Gives the histograms of requests' times.
+    /// Returns the histograms of requests' times.
     pub fn times(&self) -> &RequestTimes {
         &self.times
     }
 
-    /// Gives the counts.
+    /// Returns the counts.
     pub fn view(&self) -> CounterView {
         let counted = RefusalKind::ALL.iter().zip(&self.refusals);
         let refused = counted
--- a/components/proxy/src/drain.rs
+++ b/components/proxy/src/drain.rs
@@ -6,9 +6,9 @@
 
 /// Time at the end of a daemon's drain for answers to reach their callers: the grace that follows a
 /// deadline, the way over a busy link and the orderly end of connections.
-const ANSWER_TIME: Duration = Duration::from_millis(300);
+const ANSWER_RESERVE: Duration = Duration::from_millis(300);
 /// Most of a drain that is given to that, as a divisor.
-const ANSWER_PART: u32 = 4;
+const ANSWER_RESERVE_DIVISOR: u32 = 4;
 
 /// The end of a daemon's drain, which bounds the deadlines of its requests.
 ///
@@ -21,7 +21,7 @@
 impl DrainClock {
     /// Begins a drain of `drain` length that ends at `end`.
     pub fn end_at(&self, end: Instant, drain: Duration) {
-        let answer_time = ANSWER_TIME.min(drain / ANSWER_PART);
+        let answer_time = ANSWER_RESERVE.min(drain / ANSWER_RESERVE_DIVISOR);
         self.0.send_replace(Some(end.checked_sub(answer_time).unwrap_or(end)));
     }
 
@@ -31,7 +31,7 @@
     }
 
     /// Bounds the time left to a request that arrives now.
-    pub(crate) fn bound_left(&self, left: Duration) -> Duration {
+    pub(crate) fn bound_remaining(&self, left: Duration) -> Duration {
         let now = Instant::now();
         self.bound(now + left).saturating_duration_since(now)
     }
--- a/components/proxy/src/entry.rs
+++ b/components/proxy/src/entry.rs
@@ -1,4 +1,5 @@
-//! What a caller's request is at the daemon it enters by.
+//! A caller's request at its entry daemon: checked, cleaned of headers that must not pass, and
+//! described for placement.
 
 use std::{net::IpAddr, time::Duration};
 
@@ -9,7 +10,7 @@
 use tokio::time::Instant;
 
 use crate::{
-    answer::{OwnAnswer, own_answer},
+    answer::{DaemonAnswer, daemon_answer},
     call::{CallSource, CallTraits},
     clock::stable_hash,
     headers::{KEY_HEADER, join_cookies, strip_hop_headers, strip_own_headers},
@@ -18,48 +19,59 @@
     upload::{UploadBody, UploadError},
 };
 
-/// Longest `Idempotency-Key`, in bytes: several times a UUID, and short beside a platform key.
+/// Longest `Idempotency-Key`, in bytes: several times a UUID, and short beside a key of the
+/// platform's store.
 const MAX_KEY_BYTES: usize = 256;
 
-/// A caller's request, read so far as is needed to place it.
+/// A caller's request, read as far as placement needs.
 pub(crate) struct EntryRequest {
     pub(crate) parts: Parts,
     pub(crate) body: UploadBody,
     pub(crate) call: CallContext,
     pub(crate) began: Instant,
     pub(crate) traits: CallTraits,
-    /// Servers that it may be sent to, where the route bounds them.
+    /// Number of servers that it may be sent to, if the route limits it.
     pub(crate) max_attempts: Option<u8>,
 }
 
-/// Refuses what is never carried.
+/// Checks that a request uses a supported protocol version and method.
 ///
-/// HTTP/1.0 has no chunks: an answer of unknown length would end with its connection, and one that
-/// was cut would look complete. `CONNECT` asks for a tunnel, of which nothing could be said later.
-pub(crate) fn check_carried<B>(request: &Request<B>) -> Result<(), OwnAnswer> {
+/// HTTP/1.0 has no chunks: an answer of unknown length would end with its connection, and a
+/// truncated one would look complete. `CONNECT` asks for a tunnel, of which the daemon could not
+/// report whether anything ran.
+///
+/// # Errors
+///
+/// Returns the refusal of any other request.
+pub(crate) fn check_carried<B>(request: &Request<B>) -> Result<(), DaemonAnswer> {
     let status = match request.version() {
         Version::HTTP_11 | Version::HTTP_2 if request.method() != Method::CONNECT => return Ok(()),
         Version::HTTP_11 | Version::HTTP_2 => StatusCode::NOT_IMPLEMENTED,
         _ => StatusCode::HTTP_VERSION_NOT_SUPPORTED,
     };
-    Err(Box::new(own_answer(status, RequestOutcome::NotRun, RefusalKind::NotCarried)))
+    Err(Box::new(daemon_answer(status, RequestOutcome::NotRun, RefusalKind::NotCarried)))
 }
 
-/// Refuses keys that cannot be kept as text, and requests with two. Keys that differ in such bytes
-/// alone would count as one, and the second request would be answered as a copy of the first.
-fn check_key<B>(request: &Request<B>) -> Result<(), OwnAnswer> {
+/// Checks that a request has at most one `Idempotency-Key`, and one that can be stored as text.
+/// Keys that differ only in undecodable bytes would count as one, and the second request would be
+/// answered as a copy of the first.
+///
+/// # Errors
+///
+/// Returns the refusal of any other request.
+fn check_key<B>(request: &Request<B>) -> Result<(), DaemonAnswer> {
     let is_key = |key: &http::HeaderValue| key.len() <= MAX_KEY_BYTES && key.to_str().is_ok();
     let mut keys = request.headers().get_all(KEY_HEADER).iter();
     match (keys.next().is_none_or(is_key), keys.next()) {
         (true, None) => Ok(()),
         _ => {
             let (status, kind) = (StatusCode::BAD_REQUEST, RefusalKind::Malformed);
-            Err(Box::new(own_answer(status, RequestOutcome::NotRun, kind)))
+            Err(Box::new(daemon_answer(status, RequestOutcome::NotRun, kind)))
         }
     }
 }
 
-/// Gives the host that a request is for: of its target, else of its header.
+/// Returns the host that a request is for: that of its target, otherwise that of its header.
 pub(crate) fn host_of<B>(request: &Request<B>) -> Option<String> {
     let target = request.uri().authority().map(|authority| authority.as_str());
     let header = || request.headers().get(header::HOST)?.to_str().ok();
@@ -67,7 +79,11 @@
 }
 
 impl EntryRequest {
-    /// Reads a request for a route.
+    /// Reads a request for a route. `limit` is the largest body in bytes.
+    ///
+    /// # Errors
+    ///
+    /// Returns the refusal of a request whose key or body is not accepted.
     pub(crate) async fn read(
         request: Request<Incoming>,
         host: Option<&str>,
@@ -75,18 +91,18 @@
         call: CallContext,
         origin: CallOrigin,
         limit: u64,
-    ) -> Result<Self, OwnAnswer> {
+    ) -> Result<Self, DaemonAnswer> {
         let began = Instant::now();
         check_key(&request)?;
         let (mut parts, body) = UploadBody::read(request, limit, call.remaining).await;
         let body = body.map_err(|err| refuse_upload(&err))?;
-        clean_head(&mut parts, host);
+        clean_headers(&mut parts, host);
         body.set_length(&mut parts.headers);
-        let traits = describe(&parts, &body, route, origin);
+        let traits = call_traits(&parts, &body, route, origin);
         Ok(Self { parts, body, call, began, traits, max_attempts: route.setting.max_attempts })
     }
 
-    /// Makes the head of one attempt.
+    /// Creates the head of one attempt.
     pub(crate) fn head(&self) -> Request<()> {
         let mut head = Request::new(());
         *head.method_mut() = self.parts.method.clone();
@@ -95,13 +111,13 @@
         head
     }
 
-    /// Gives the time left to its response-time goal, where there is one.
-    pub(crate) fn goal_left(&self) -> Option<Duration> {
+    /// Returns the time remaining until its response-time goal, if there is one.
+    pub(crate) fn goal_remaining(&self) -> Option<Duration> {
         self.traits.goal.map(|goal| goal.saturating_sub(self.began.elapsed()))
     }
 
-    /// Gives the time left for the request.
-    pub(crate) fn left(&self) -> Duration {
+    /// Returns the time remaining until its deadline.
+    pub(crate) fn remaining(&self) -> Duration {
         self.call.remaining.saturating_sub(self.began.elapsed())
     }
 }
@@ -116,7 +132,7 @@
 }
 
 impl CallOrigin {
-    /// Hashes the origin, for fair shares among callers.
+    /// Hashes the origin; fair shares among callers are counted by it.
     fn key(&self) -> u64 {
         match self {
             Self::Nested(service) => stable_hash(&[b"service", service.as_bytes()]),
@@ -126,7 +142,8 @@
     }
 }
 
-fn clean_head(parts: &mut Parts, host: Option<&str>) {
+/// Removes headers that must not pass, and sets the host.
+fn clean_headers(parts: &mut Parts, host: Option<&str>) {
     strip_own_headers(&mut parts.headers);
     strip_hop_headers(&mut parts.headers);
     if parts.version == Version::HTTP_2 {
@@ -137,7 +154,8 @@
     }
 }
 
-fn describe(
+/// Derives from a request and its route what its attempts have in common.
+fn call_traits(
     parts: &Parts,
     body: &UploadBody,
     route: &RouteMatch<'_>,
@@ -162,8 +180,8 @@
     }
 }
 
-/// Hashes what the service time of a route's requests depends on. Routes of one kind of work come
-/// and go under many names; their figures tell them apart better than their names.
+/// Hashes what the service time of a route's requests depends on. Routes of one kind of work are
+/// added and removed under many names; their settings identify the work better than their names.
 fn work_key(route: &RouteSetting) -> WorkKey {
     let handling = route.handling.map_or(0, |handling| handling as u64 + 1);
     let goal_ms = route.goal_ms.unwrap_or_default();
@@ -172,9 +190,9 @@
     stable_hash(&[&bytes[0], &bytes[1], &bytes[2], &bytes[3]])
 }
 
-/// Tells whether a request may run twice. Where the route names its kind, that alone decides: a
-/// `GET` may confirm something, and a `POST` may only ask. Else the method and the route tell, and
-/// a caller that gives a key says that its request must run once.
+/// Returns whether a request may run twice. If the route states its handling, that alone decides:
+/// a `GET` may confirm something, and a `POST` may only query. Otherwise the method and the route
+/// decide, and a caller that sends a key requires that its request runs once.
 fn is_repeatable(method: &Method, route: &RouteSetting, has_key: bool) -> bool {
     match route.handling {
         Some(RouteKind::Safe | RouteKind::Download) => true,
@@ -183,17 +201,18 @@
     }
 }
 
-/// Tells whether a method only reads. `PUT` and `DELETE` are idempotent by RFC 9110, but a second
-/// run after another caller's change undoes that change, so they are repeated only where the route
-/// says so.
+/// Returns whether a method only reads. `PUT` and `DELETE` are idempotent by RFC 9110, but a
+/// second run after another caller's change would undo that change, so they are repeated only
+/// where the route allows it.
 fn is_safe(method: &Method) -> bool {
     [Method::GET, Method::HEAD, Method::OPTIONS, Method::TRACE].contains(method)
 }
 
-fn refuse_upload(err: &UploadError) -> OwnAnswer {
+/// Returns the refusal of a request whose body could not be read.
+fn refuse_upload(err: &UploadError) -> DaemonAnswer {
     let (status, kind) = match err {
         UploadError::TooLarge => (StatusCode::PAYLOAD_TOO_LARGE, RefusalKind::TooLarge),
         UploadError::Lost => (StatusCode::REQUEST_TIMEOUT, RefusalKind::DeadlineTooNear),
     };
-    Box::new(own_answer(status, RequestOutcome::NotRun, kind))
+    Box::new(daemon_answer(status, RequestOutcome::NotRun, kind))
 }
--- a/components/proxy/src/passed.rs
+++ b/components/proxy/src/entry_answer.rs
@@ -7,45 +7,45 @@
 
 use crate::{
     body::BodyError, clock::process_now, counters::ProxyCounters, headers::header_text,
-    watched::BodyHold,
+    tracked_body::BodyEndHandler,
 };
 
 /// Counts a caller's request as in flight until it is dropped with the end of its answer.
-pub(crate) struct EntryCount {
+pub(crate) struct InFlightCount {
     counters: Arc<ProxyCounters>,
     /// The caller's id of the attempt.
     attempt: Option<HeaderValue>,
 }
 
-impl EntryCount {
+impl InFlightCount {
     pub(crate) fn new(counters: Arc<ProxyCounters>) -> Self {
         counters.enter();
         Self { counters, attempt: None }
     }
 
     /// Sets the id under which the log tells of an answer that is cut.
-    pub(crate) fn name(&mut self, attempt: Option<HeaderValue>) {
+    pub(crate) fn set_attempt(&mut self, attempt: Option<HeaderValue>) {
         self.attempt = attempt;
     }
 }
 
-impl Drop for EntryCount {
+impl Drop for InFlightCount {
     fn drop(&mut self) {
         self.counters.leave();
     }
 }
 
-impl BodyHold for EntryCount {
-    fn end_whole(self) {}
+impl BodyEndHandler for InFlightCount {
+    fn on_complete(self) {}
 
-    fn end_cut(self, err: &BodyError) {
+    fn on_failure(self, err: &BodyError) {
         let attempt = header_text(self.attempt.as_ref());
         log::warn!(attempt; "proxy: an answer was cut after its head: {err}.");
     }
 }
 
 /// A call in flight to an endpoint, with how its head was judged.
-pub(crate) struct OpenCall {
+pub(crate) struct EndpointCall {
     pub(crate) placed: PlacedCall,
     /// What the head says of the endpoint; none where it speaks of the request alone.
     pub(crate) outcome: Option<CallOutcome>,
@@ -53,7 +53,7 @@
     pub(crate) counters: Arc<ProxyCounters>,
 }
 
-impl OpenCall {
+impl EndpointCall {
     fn finish(self, outcome: Option<CallOutcome>) {
         if let Some(outcome) = outcome {
             self.placed.finish(outcome, self.latency, process_now());
@@ -61,13 +61,13 @@
     }
 }
 
-impl BodyHold for OpenCall {
-    fn end_whole(self) {
+impl BodyEndHandler for EndpointCall {
+    fn on_complete(self) {
         let outcome = self.outcome;
         self.finish(outcome);
     }
 
-    fn end_cut(self, _err: &BodyError) {
+    fn on_failure(self, _err: &BodyError) {
         self.counters.count_cut();
         self.finish(Some(CallOutcome::Failure));
     }
--- a/components/proxy/src/exchange.rs
+++ b/components/proxy/src/exchange.rs
@@ -14,34 +14,34 @@
 use tokio::time::Instant;
 
 use crate::{
-    answer::{lost_answer, refuse, refuse_until},
+    answer::{error_answer, refuse, refuse_with_delay},
     body::{ProxyBody, whole_body},
     call::GuardCall,
-    claim::{ClaimHold, ClaimOutcome},
+    claim::{ClaimOutcome, PendingClaim},
     context::GuardContext,
     gate::AdmitPermit,
     headers::{strip_hop_headers, strip_own_headers},
-    hints::write_ran,
+    hints::write_service_time,
     local::GuardedServer,
+    open_exchange::OpenExchange,
     outcome::{RefusalKind, RequestOutcome},
     pool::AcquiredSender,
-    quarantine::examine,
-    served::ServerExchange,
+    quarantine::check_for_crash,
     times::TimeStage,
-    transfers::TurnBody,
-    watched::WatchedBody,
+    tracked_body::TrackedBody,
+    transfers::ScheduledBody,
     words::{AnswerVerdict, RequestNote},
 };
 
 /// Part of the goal, as a divisor, over which the return of callers is spread whom a server turned away:
 /// enough to keep a herd apart, and little of what they have left.
-const SHED_RETURN_PART: u32 = 8;
+const SHED_RETRY_DIVISOR: u32 = 8;
 /// Longest such time, also where there is no goal.
-const LONGEST_SHED_RETURN: Duration = Duration::from_millis(100);
+const MAX_SHED_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// How far a request has come, for the answer at its deadline.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(crate) enum PassStage {
+pub(crate) enum SendStage {
     /// The server has been sent nothing.
     Waiting,
     /// The server may have it, by this permit.
@@ -53,9 +53,9 @@
 /// A request that may be sent now, with all that must be given back when it ends.
 pub(crate) struct AdmittedRequest {
     pub(crate) permit: AdmitPermit,
-    pub(crate) hold: Option<ClaimHold>,
+    pub(crate) claim: Option<PendingClaim>,
     /// Time that its body took to come over the link.
-    pub(crate) fetched: Duration,
+    pub(crate) upload_time: Duration,
     pub(crate) admitted_at: Instant,
     pub(crate) deadline: Instant,
 }
@@ -67,14 +67,14 @@
     request: Request<ProxyBody>,
     call: &GuardCall,
     admitted: AdmittedRequest,
-    stage: &mut PassStage,
+    stage: &mut SendStage,
 ) -> Response<ProxyBody> {
-    let response = send_on(context, server, request, call, admitted, stage).await;
+    let response = send_until_taken(context, server, request, call, admitted, stage).await;
     // The server may have run what it first got, and died. If the process in its place turns the
-    // request away, the caller would be told that nothing ran.
+    // request away, the caller would be told that nothing service_time.
     match RequestOutcome::read(response.headers()) {
-        Some(RequestOutcome::NotRun) if *stage == PassStage::Resent => {
-            let mut response = lost_answer(RefusalKind::AnswerLost, RequestOutcome::Unknown);
+        Some(RequestOutcome::NotRun) if *stage == SendStage::Resent => {
+            let mut response = error_answer(RefusalKind::AnswerLost, RequestOutcome::Unknown);
             server.hints().write(response.headers_mut());
             response
         }
@@ -83,36 +83,40 @@
 }
 
 /// Sends on one connection after the other until one takes the request.
-async fn send_on(
+async fn send_until_taken(
     context: &Arc<GuardContext>,
     server: &Arc<GuardedServer>,
     request: Request<ProxyBody>,
     call: &GuardCall,
     mut admitted: AdmittedRequest,
-    stage: &mut PassStage,
+    stage: &mut SendStage,
 ) -> Response<ProxyBody> {
     let attempt = context.words.attempt(request.headers()).cloned();
-    let mut request = to_server(context, request, server, call, admitted.deadline);
-    let mut spare = spare_of(&request, call);
+    let mut request = server_request(context, request, server, call, admitted.deadline);
+    let mut copy = resendable_copy(&request, call);
     loop {
         let AcquiredSender { mut sender, idle } =
             match server.pool.acquire(call.is_repeatable).await {
                 Ok(found) => found,
                 Err(err) => {
                     log::info!("guard: {}: {err}.", server.id);
-                    examine(context.quarantine.clone(), context.servers.clone(), server.clone());
-                    return not_run(admitted, RefusalKind::ServerUnreachable).await;
+                    check_for_crash(
+                        context.quarantine.clone(),
+                        context.servers.clone(),
+                        server.clone(),
+                    );
+                    return refuse_unsent(admitted, RefusalKind::ServerUnreachable).await;
                 }
             };
         // A process that was paused wakes here with a request whose caller was told long ago that
         // its end is unknown. It could still run, but nobody waits for it.
         if admitted.deadline <= Instant::now() {
-            return not_run(admitted, RefusalKind::DeadlineTooNear).await;
+            return refuse_unsent(admitted, RefusalKind::DeadlineTooNear).await;
         }
-        admitted.note_sent(call, stage);
+        admitted.record_sent(call, stage);
         match sender.try_send_request(request).await {
             Ok(response) => {
-                let exchange = ServerExchange {
+                let exchange = OpenExchange {
                     context: context.clone(),
                     server: server.clone(),
                     fingerprint: call.fingerprint,
@@ -126,90 +130,90 @@
                 let times = context.counters.times();
                 times.observe(&call.service, outcome, TimeStage::Server, took);
                 let is_own = matches!(verdict, AnswerVerdict::Sound | AnswerVerdict::NotExecuted);
-                server.note_end(status.is_server_error() || !is_own);
+                server.record_end(status.is_server_error() || !is_own);
                 return match verdict {
                     AnswerVerdict::Sound => {
-                        let span = (admitted.fetched + took, admitted.deadline);
-                        answer(response, exchange, admitted.hold, span)
+                        let span = (admitted.upload_time + took, admitted.deadline);
+                        stream_answer(response, exchange, admitted.claim, span)
                     }
-                    verdict => reject(verdict, call.goal(), exchange, admitted.hold).await,
+                    verdict => reject_answer(verdict, call.goal(), exchange, admitted.claim).await,
                 };
             }
             Err(mut err) => match err.take_message() {
                 // The connection had closed while idle and took no byte of the request.
                 Some(unsent) => {
                     request = unsent;
-                    admitted.note_unsent(stage);
+                    admitted.record_unsent(stage);
                 }
                 None => {
                     let err = err.into_error();
                     let idle = idle.filter(|idle| *idle >= STALE_LEAST && !err.is_user());
                     if let Some(idle) = idle {
-                        server.pool.note_stale(idle);
+                        server.pool.record_stale(idle);
                     }
                     // Once and at once: the server most likely forgot the connection.
-                    if let Some(again) = spare.take().filter(|_| idle.is_some()) {
+                    if let Some(again) = copy.take().filter(|_| idle.is_some()) {
                         log::info!("guard: {} reset a connection that was idle: {err}.", server.id);
                         request = again;
-                        *stage = PassStage::Resent;
+                        *stage = SendStage::Resent;
                         continue;
                     }
-                    log::info!("guard: {} lost an answer: {err}.", server.id);
-                    return lost(context, server, &admitted.permit, &err);
+                    log::info!("guard: {} end_broken an answer: {err}.", server.id);
+                    return end_broken(context, server, &admitted.permit, &err);
                 }
             },
         }
     }
 }
 
-/// Gives a copy of a request that may be sent again as it is.
-fn spare_of(request: &Request<ProxyBody>, call: &GuardCall) -> Option<Request<ProxyBody>> {
+/// Returns a copy of a request that may be sent again as it is.
+fn resendable_copy(request: &Request<ProxyBody>, call: &GuardCall) -> Option<Request<ProxyBody>> {
     let is_plain = call.is_repeatable && request.body().is_end_stream();
     is_plain.then(|| {
-        let mut spare = Request::new(whole_body(Bytes::new()));
-        *spare.method_mut() = request.method().clone();
-        *spare.uri_mut() = request.uri().clone();
-        *spare.headers_mut() = request.headers().clone();
-        spare
+        let mut copy = Request::new(whole_body(Bytes::new()));
+        *copy.method_mut() = request.method().clone();
+        *copy.uri_mut() = request.uri().clone();
+        *copy.headers_mut() = request.headers().clone();
+        copy
     })
 }
 
 impl AdmittedRequest {
-    fn note_sent(&mut self, call: &GuardCall, stage: &mut PassStage) {
-        if *stage != PassStage::Resent {
-            *stage = PassStage::Sent;
+    fn record_sent(&mut self, call: &GuardCall, stage: &mut SendStage) {
+        if *stage != SendStage::Resent {
+            *stage = SendStage::Sent;
         }
-        self.permit.note_sent(call.fingerprint);
+        self.permit.record_sent(call.fingerprint);
         self.set_claim(ClaimOutcome::Unknown);
     }
 
-    fn note_unsent(&mut self, stage: &mut PassStage) {
-        if *stage == PassStage::Resent {
+    fn record_unsent(&mut self, stage: &mut SendStage) {
+        if *stage == SendStage::Resent {
             return;
         }
-        *stage = PassStage::Waiting;
-        self.permit.note_unsent();
+        *stage = SendStage::Waiting;
+        self.permit.record_unsent();
         self.set_claim(ClaimOutcome::NotRun);
     }
 
     fn set_claim(&mut self, outcome: ClaimOutcome) {
-        if let Some(hold) = &mut self.hold {
-            hold.set(outcome);
+        if let Some(claim) = &mut self.claim {
+            claim.set_outcome(outcome);
         }
     }
 }
 
 /// Ends an admitted request that was not sent.
-async fn not_run(admitted: AdmittedRequest, kind: RefusalKind) -> Response<ProxyBody> {
+async fn refuse_unsent(admitted: AdmittedRequest, kind: RefusalKind) -> Response<ProxyBody> {
     drop(admitted.permit);
-    if let Some(hold) = admitted.hold {
-        hold.give_back().await;
+    if let Some(claim) = admitted.claim {
+        claim.release_unrun().await;
     }
     refuse(kind)
 }
 
 /// Ends a request whose connection broke before the head of an answer.
-fn lost(
+fn end_broken(
     context: &Arc<GuardContext>,
     server: &Arc<GuardedServer>,
     permit: &AdmitPermit,
@@ -217,69 +221,70 @@
 ) -> Response<ProxyBody> {
     // A body that failed is the caller's doing and says nothing of the server.
     if !err.is_user() {
-        server.note_end(true);
-        permit.note_broken();
-        examine(context.quarantine.clone(), context.servers.clone(), server.clone());
+        server.record_end(true);
+        permit.record_broken();
+        check_for_crash(context.quarantine.clone(), context.servers.clone(), server.clone());
     }
-    let mut response = lost_answer(RefusalKind::AnswerLost, RequestOutcome::Unknown);
+    let mut response = error_answer(RefusalKind::AnswerLost, RequestOutcome::Unknown);
     server.hints().write(response.headers_mut());
     response
 }
 
-fn answer(
+fn stream_answer(
     mut response: Response<Incoming>,
-    exchange: ServerExchange,
-    hold: Option<ClaimHold>,
-    (ran, deadline): (Duration, Instant),
+    exchange: OpenExchange,
+    claim: Option<PendingClaim>,
+    (service_time, deadline): (Duration, Instant),
 ) -> Response<ProxyBody> {
-    if let Some(mut hold) = hold {
-        hold.set(ClaimOutcome::Ran { status: response.status().as_u16() });
+    if let Some(mut claim) = claim {
+        claim.set_outcome(ClaimOutcome::Ran { status: response.status().as_u16() });
     }
     if response.status().is_informational() {
         log::warn!("guard: {} switches protocols unasked.", exchange.server.id);
-        return lost_answer(RefusalKind::AnswerUnsound, RequestOutcome::Ran);
+        return error_answer(RefusalKind::AnswerUnsound, RequestOutcome::Ran);
     }
     let headers = response.headers_mut();
     strip_answer(headers);
     RequestOutcome::Ran.write(headers);
-    write_ran(headers, ran);
+    write_service_time(headers, service_time);
     exchange.server.hints().write(headers);
     let until = Some(deadline + BODY_GRACE);
-    let line = exchange.server.transfers.clone();
-    response
-        .map(|body| WatchedBody::new(TurnBody::new(body, &line), exchange, until).boxed_unsync())
+    let line = exchange.server.answer_transfers.clone();
+    response.map(|body| {
+        TrackedBody::new(ScheduledBody::new(body, &line), exchange, until).boxed_unsync()
+    })
 }
 
-/// Gives when a caller may return whose request a server turned away although it had a slot free.
+/// Returns when a caller may return whose request a server turned away although it had a slot free.
 ///
 /// Such a server sheds by chance or by a count of its own, and the next try has as good a chance as the
 /// first. Told to come back after a second, callers waited for as long as they could, and what was then
 /// served was late.
-fn shed_return(goal: Option<Duration>) -> Duration {
-    let window = goal.map_or(LONGEST_SHED_RETURN, |goal| goal / SHED_RETURN_PART);
-    draw_between(Duration::ZERO, window.min(LONGEST_SHED_RETURN), &mut rand::rng())
+fn shed_retry_delay(goal: Option<Duration>) -> Duration {
+    let window = goal.map_or(MAX_SHED_RETRY_DELAY, |goal| goal / SHED_RETRY_DIVISOR);
+    draw_between(Duration::ZERO, window.min(MAX_SHED_RETRY_DELAY), &mut rand::rng())
 }
 
 /// Ends an exchange whose answer must not reach the caller. Its connection is closed, since what
 /// comes next on it may belong to another request.
-async fn reject(
+async fn reject_answer(
     verdict: AnswerVerdict,
     goal: Option<Duration>,
-    exchange: ServerExchange,
-    hold: Option<ClaimHold>,
+    exchange: OpenExchange,
+    claim: Option<PendingClaim>,
 ) -> Response<ProxyBody> {
     let id = &exchange.server.id;
     let mut response = match verdict {
         AnswerVerdict::NotExecuted => {
             log::info!("guard: {id} turned a request away.");
-            if let Some(hold) = hold {
-                hold.give_back().await;
+            if let Some(claim) = claim {
+                claim.release_unrun().await;
             }
-            refuse_until(RefusalKind::TurnedAway, shed_return(goal))
+            refuse_with_delay(RefusalKind::TurnedAway, shed_retry_delay(goal))
         }
         verdict => {
             log::warn!("guard: {id} gave an answer that is not its own: {verdict:?}.");
-            lost_answer(RefusalKind::AnswerUnsound, RequestOutcome::Unknown)
+            error_answer(RefusalKind::AnswerUnsound, RequestOutcome::Unknown)
         }
     };
     exchange.server.hints().write(response.headers_mut());
@@ -291,14 +296,14 @@
     strip_own_headers(headers);
 }
 
-fn left_of(call: &GuardCall, deadline: Instant) -> CallContext {
+fn remaining_context(call: &GuardCall, deadline: Instant) -> CallContext {
     let remaining = deadline.saturating_duration_since(Instant::now());
     CallContext { remaining, ..call.context() }
 }
 
-/// Makes the request that the server gets: its path alone as target, the caller's host, and what
+/// Creates the request that the server gets: its path alone as target, the caller's host, and what
 /// the server is told in the platform's words.
-fn to_server(
+fn server_request(
     context: &GuardContext,
     mut request: Request<ProxyBody>,
     server: &GuardedServer,
@@ -310,7 +315,7 @@
     *request.version_mut() = http::Version::HTTP_11;
     let headers = request.headers_mut();
     let note = RequestNote {
-        context: left_of(call, deadline),
+        context: remaining_context(call, deadline),
         server: &server.name,
         from: call.from.as_deref(),
     };
--- a/components/proxy/src/failed_calls.rs
+++ b/components/proxy/src/failed_calls.rs
@@ -12,9 +12,9 @@
 };
 
 /// Calls that are remembered: a second's calls of a busy server, and their failures.
-const KEPT: usize = 512;
+const MAX_CALLS: usize = 512;
 /// Time for which one is of use: longer than a server takes to give up after it.
-const KEPT_FOR: Duration = Duration::from_secs(10);
+const CALL_RETENTION: Duration = Duration::from_secs(10);
 
 /// Identifies a call from its start to its end.
 pub(crate) type CallNumber = u64;
@@ -39,11 +39,11 @@
 pub struct FailedCalls(Mutex<CallList>);
 
 impl FailedCalls {
-    /// Notes that a call begins.
+    /// Records that a call begins.
     pub(crate) fn begin(&self, parent: &str, service: &str) -> CallNumber {
         let mut list = self.lock();
-        list.calls.retain(|call| call.begun.elapsed() < KEPT_FOR);
-        if list.calls.len() >= KEPT {
+        list.calls.retain(|call| call.begun.elapsed() < CALL_RETENTION);
+        if list.calls.len() >= MAX_CALLS {
             list.calls.pop_front();
         }
         list.next += 1;
@@ -58,7 +58,7 @@
         number
     }
 
-    /// Notes how a call ended; one that succeeded is forgotten.
+    /// Records how a call ended; one that succeeded is forgotten.
     pub(crate) fn end(&self, number: CallNumber, failure: Option<String>) {
         let mut list = self.lock();
         match failure {
--- a/components/proxy/src/gate.rs
+++ b/components/proxy/src/gate.rs
@@ -21,15 +21,15 @@
 type WaitSender = oneshot::Sender<Result<(), RefusalReason>>;
 type WaitReceiver = oneshot::Receiver<Result<(), RefusalReason>>;
 
-/// Time for which a server may still work on a request whose caller has left. Without it a request
+/// Time for which a server may still work on a request whose caller has abandoned. Without it a request
 /// that crashes servers, sent by a caller who never waits, would not be found among those in flight.
-const LEFT_WINDOW: Duration = Duration::from_secs(1);
+const ABANDONED_WINDOW: Duration = Duration::from_secs(1);
 /// Departed callers' requests remembered.
-const LEFT_LIMIT: usize = 64;
+const MAX_ABANDONED: usize = 64;
 
 /// A request that the server has, or had when its connection broke.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct ServerFlight {
+pub(crate) struct InFlightRequest {
     pub(crate) fingerprint: Fingerprint,
     pub(crate) is_trial: bool,
 }
@@ -40,10 +40,10 @@
     /// Requests of which the server has been sent at least a part.
     sent: SecondaryMap<Ticket, Fingerprint>,
     /// Requests whose connection broke, until it is clear whether the server died.
-    broken: Vec<ServerFlight>,
-    /// Requests whose callers left, with the time at which they did, the newest last.
-    left: VecDeque<(Duration, ServerFlight)>,
-    has_ticker: bool,
+    broken: Vec<InFlightRequest>,
+    /// Requests whose callers abandoned, with the time at which they did, the newest last.
+    abandoned: VecDeque<(Duration, InFlightRequest)>,
+    has_expiry_task: bool,
 }
 
 /// Admits requests to one process of a backend server.
@@ -61,20 +61,20 @@
 }
 
 impl AdmissionGate {
-    /// Makes the gate of a server that started at `started_at`.
+    /// Creates the gate of a server that started at `started_at`.
     pub(crate) fn new(settings: GuardSettings, started_at: Duration) -> Self {
         let state = GateState {
             guard: AdmissionGuard::new(settings, started_at),
             waiting: SecondaryMap::new(),
             sent: SecondaryMap::new(),
             broken: Vec::new(),
-            left: VecDeque::new(),
-            has_ticker: false,
+            abandoned: VecDeque::new(),
+            has_expiry_task: false,
         };
         Self { state: Mutex::new(state), queued: Notify::new() }
     }
 
-    /// Admits a request, at once or when its turn comes.
+    /// Admits a request, at once or when its decision comes.
     ///
     /// # Errors
     ///
@@ -83,9 +83,9 @@
         self: &Arc<Self>,
         request: &GuardRequest,
     ) -> Result<AdmitPermit, Refusal> {
-        let (permit, turn) = self.offer(request)?;
-        let Some(turn) = turn else { return Ok(permit) };
-        match turn.await {
+        let (permit, decision) = self.offer(request)?;
+        let Some(decision) = decision else { return Ok(permit) };
+        match decision.await {
             Ok(Ok(())) => Ok(permit),
             Ok(Err(reason)) => Err(self.refuse(reason)),
             // The gate keeps the sender for as long as the ticket is queued.
@@ -113,19 +113,19 @@
         state.deliver(released);
     }
 
-    /// Gives the load in percent and how long a request would wait for a slot now.
+    /// Returns the load in percent and how long a request would wait for a slot now.
     pub(crate) fn load_and_wait(&self) -> (u32, Duration) {
         let (state, now) = (self.lock(), process_now());
         ((state.guard.load(now) * 100.0).round() as u32, state.guard.wait_hint(now))
     }
 
-    /// Gives the counts.
+    /// Returns the counts.
     pub(crate) fn state(&self) -> GuardState {
         self.lock().guard.state(process_now())
     }
 
-    /// Takes note of how many large answers wait for the link.
-    pub(crate) fn note_held_back(&self, answers: usize) {
+    /// Records how many large answers wait for the link.
+    pub(crate) fn set_waiting_answers(&self, answers: usize) {
         let mut state = self.lock();
         let released = state.guard.set_held_back(answers, process_now());
         state.deliver(released);
@@ -133,13 +133,13 @@
 
     /// Takes the requests whose connection broke since the last call, and those the server has or
     /// may still be working on.
-    pub(crate) fn take_flights(&self) -> Vec<ServerFlight> {
+    pub(crate) fn take_in_flight(&self) -> Vec<InFlightRequest> {
         let mut state = self.lock();
         let mut flights = std::mem::take(&mut state.broken);
-        let since = process_now().saturating_sub(LEFT_WINDOW);
-        let left = std::mem::take(&mut state.left).into_iter();
-        flights.extend(left.filter(|(at, _)| *at >= since).map(|(_, flight)| flight));
-        let running = state.sent.iter().map(|(ticket, fingerprint)| ServerFlight {
+        let since = process_now().saturating_sub(ABANDONED_WINDOW);
+        let abandoned = std::mem::take(&mut state.abandoned).into_iter();
+        flights.extend(abandoned.filter(|(at, _)| *at >= since).map(|(_, flight)| flight));
+        let running = state.sent.iter().map(|(ticket, fingerprint)| InFlightRequest {
             fingerprint: *fingerprint,
             is_trial: state.guard.is_trial(ticket),
         });
@@ -171,10 +171,10 @@
             Admission::Queued(ticket) => {
                 let (sender, receiver) = oneshot::channel();
                 state.waiting.insert(ticket, sender);
-                let is_first = !std::mem::replace(&mut state.has_ticker, true);
+                let is_first = !std::mem::replace(&mut state.has_expiry_task, true);
                 drop(state);
                 match is_first {
-                    true => drop(tokio::spawn(tick(self.clone()))),
+                    true => drop(tokio::spawn(expire_queued(self.clone()))),
                     false => self.queued.notify_one(),
                 }
                 Ok((self.permit(ticket), Some(receiver)))
@@ -213,9 +213,9 @@
     fn end(&mut self, ticket: Ticket, is_complete: bool) {
         if let Some(fingerprint) = self.sent.remove(ticket).filter(|_| !is_complete) {
             let is_trial = self.guard.is_trial(ticket);
-            self.left.push_back((process_now(), ServerFlight { fingerprint, is_trial }));
-            if self.left.len() > LEFT_LIMIT {
-                self.left.pop_front();
+            self.abandoned.push_back((process_now(), InFlightRequest { fingerprint, is_trial }));
+            if self.abandoned.len() > MAX_ABANDONED {
+                self.abandoned.pop_front();
             }
         }
         self.waiting.remove(ticket);
@@ -228,22 +228,22 @@
 }
 
 impl AdmitPermit {
-    /// Takes note that the server is being sent the request.
-    pub(crate) fn note_sent(&self, fingerprint: Fingerprint) {
+    /// Records that the server is being sent the request.
+    pub(crate) fn record_sent(&self, fingerprint: Fingerprint) {
         self.gate.lock().sent.insert(self.ticket, fingerprint);
     }
 
-    /// Takes note that nothing was sent after all.
-    pub(crate) fn note_unsent(&self) {
+    /// Records that nothing was sent after all.
+    pub(crate) fn record_unsent(&self) {
         self.gate.lock().sent.remove(self.ticket);
     }
 
-    /// Takes note that the connection broke while the server had the request.
-    pub(crate) fn note_broken(&self) {
+    /// Records that the connection broke while the server had the request.
+    pub(crate) fn record_broken(&self) {
         let mut state = self.gate.lock();
         if let Some(fingerprint) = state.sent.remove(self.ticket) {
             let is_trial = state.guard.is_trial(self.ticket);
-            state.broken.push(ServerFlight { fingerprint, is_trial });
+            state.broken.push(InFlightRequest { fingerprint, is_trial });
         }
     }
 
@@ -263,14 +263,14 @@
 }
 
 /// Refuses queued requests when they have waited too long, until none is queued.
-async fn tick(gate: Arc<AdmissionGate>) {
+async fn expire_queued(gate: Arc<AdmissionGate>) {
     loop {
         let next = {
             let mut state = gate.lock();
             let released = state.guard.expire(process_now());
             state.deliver(released);
             let next = state.guard.next_expiry();
-            state.has_ticker = next.is_some();
+            state.has_expiry_task = next.is_some();
             next
         };
         let Some(next) = next else { return };
--- a/components/proxy/src/guard.rs
+++ b/components/proxy/src/guard.rs
@@ -16,20 +16,20 @@
 use tokio::time::Instant;
 
 use crate::{
-    answer::{OwnAnswer, lost_answer, own_answer, refuse, refuse_until},
+    abandoned::AbandonLog,
+    answer::{DaemonAnswer, daemon_answer, error_answer, refuse, refuse_with_delay},
     body::{CheckedBody, ProxyBody},
     call::GuardCall,
-    claim::{ClaimHold, ClaimKey, ClaimVerdict},
+    claim::{ClaimKey, ClaimVerdict, PendingClaim},
     clock::process_now,
     context::GuardContext,
-    departure::DepartureNote,
-    exchange::{AdmittedRequest, PassStage, send},
-    fetch::{ComingCount, fetch_body},
+    exchange::{AdmittedRequest, SendStage, send},
     gate::AdmitPermit,
     headers::{KEY_HEADER, header_text, strip_hop_headers, strip_own_headers},
-    hints::{write_calls, write_figures, write_held},
+    hints::{write_failed_calls, write_figures, write_guard_time},
     local::GuardedServer,
     outcome::{EARLIER_STATUS_HEADER, RefusalKind, RequestOutcome},
+    receive::{IncomingCount, receive_body},
     times::TimeStage,
     transfers::is_large,
 };
@@ -45,127 +45,129 @@
 
 /// Takes one request from another daemon. `accepted_at` is when its connection was accepted, on the
 /// clock that trips are measured by.
-pub(crate) async fn guard(
+pub(crate) async fn handle_peer_request(
     context: Arc<GuardContext>,
     request: Request<Incoming>,
     accepted_at: Duration,
 ) -> Response<ProxyBody> {
-    let (call, late) = match GuardCall::read(request.headers()) {
+    let (call, transit_delay) = match GuardCall::read(request.headers()) {
         _ if !context.token.is_in(request.headers()) => {
             let kind = RefusalKind::Unauthorized;
             context.counters.count_refusal(kind);
-            return own_answer(StatusCode::FORBIDDEN, RequestOutcome::NotRun, kind);
+            return daemon_answer(StatusCode::FORBIDDEN, RequestOutcome::NotRun, kind);
         }
         None => {
             let kind = RefusalKind::Malformed;
-            return own_answer(StatusCode::BAD_REQUEST, RequestOutcome::NotRun, kind);
+            return daemon_answer(StatusCode::BAD_REQUEST, RequestOutcome::NotRun, kind);
         }
         Some(mut call) => {
             let mut clocks = context.trips.lock().unwrap_or_else(PoisonError::into_inner);
-            let late = call.arrive(&mut clocks, accepted_at);
-            (call, late)
+            let transit_delay = call.mark_received(&mut clocks, accepted_at);
+            (call, transit_delay)
         }
     };
     let version = request.version();
     let request = request.map(|body| CheckedBody::new(body, version).boxed_unsync());
-    pass(context, request, call, Some(late)).await
+    forward_to_server(context, request, call, Some(transit_delay)).await
 }
 
 /// Passes one request to the local backend server, or refuses it as not run.
 ///
-/// Also the way of a request whose endpoint is beside the very daemon that it entered by. `late` is
+/// Also the way of a request whose endpoint is beside the very daemon that it entered by. `transit_delay` is
 /// what a call of another daemon has lost on its way.
-pub(crate) async fn pass(
+pub(crate) async fn forward_to_server(
     context: Arc<GuardContext>,
     mut request: Request<ProxyBody>,
     call: GuardCall,
-    late: Option<Duration>,
+    transit_delay: Option<Duration>,
 ) -> Response<ProxyBody> {
     strip_hop_headers(request.headers_mut());
     strip_own_headers(request.headers_mut());
     let attempt = context.words.attempt(request.headers()).cloned();
     let at = Instant::now();
     let deadline = context.drain.bound(at + call.context().remaining);
-    let arrival = CallArrival { at, deadline, over_link: late.is_some() };
-    let mut note = DepartureNote::new(attempt, at, late.unwrap_or_default());
-    let passed = pass_admitted(&context, request, &call, arrival, &mut note.stage);
+    let arrival = CallArrival { at, deadline, over_link: transit_delay.is_some() };
+    let mut abandon_log = AbandonLog::new(attempt, at, transit_delay.unwrap_or_default());
+    let passed = admit_and_send(&context, request, &call, arrival, &mut abandon_log.stage);
     let mut response = match context.drain.await_until(deadline, GUARD_GRACE, passed).await {
         Some(response) => response,
         // Dropping the exchange has closed its connection, which tells the server to give up, and
-        // a late answer has no way left to any caller.
-        None => match note.stage {
-            PassStage::Waiting => refuse(RefusalKind::DeadlineTooNear),
-            PassStage::Sent | PassStage::Resent => {
-                lost_answer(RefusalKind::DeadlinePassed, RequestOutcome::Unknown)
+        // a transit_delay answer has no way left to any caller.
+        None => match abandon_log.stage {
+            SendStage::Waiting => refuse(RefusalKind::DeadlineTooNear),
+            SendStage::Sent | SendStage::Resent => {
+                error_answer(RefusalKind::DeadlinePassed, RequestOutcome::Unknown)
             }
         },
     };
-    let attempt = note.end();
+    let attempt = abandon_log.disarm();
     if let Some(kind) = RefusalKind::read(response.headers()) {
         context.counters.count_refusal(kind);
     }
     if response.status().is_server_error()
         && let Some(calls) = context.failed_calls.take(header_text(attempt.as_ref()))
     {
-        write_calls(response.headers_mut(), &calls);
+        write_failed_calls(response.headers_mut(), &calls);
     }
-    write_held(response.headers_mut(), at.elapsed());
+    write_guard_time(response.headers_mut(), at.elapsed());
     response
 }
 
-async fn pass_admitted(
+async fn admit_and_send(
     context: &Arc<GuardContext>,
     request: Request<ProxyBody>,
     call: &GuardCall,
     arrival: CallArrival,
-    stage: &mut PassStage,
+    stage: &mut SendStage,
 ) -> Response<ProxyBody> {
     let server = context.servers.guarded(&call.service);
     let Some(server) = server.filter(|server| *server.id == *call.server) else {
-        return refuse_until(RefusalKind::ServerGone, Duration::ZERO);
+        return refuse_with_delay(RefusalKind::ServerGone, Duration::ZERO);
     };
-    let alone = match judge_suspect(context, &request, call) {
-        QuarantineVerdict::Refused(left) => return refuse_until(RefusalKind::Quarantined, left),
+    let alone = match judge_quarantine(context, &request, call) {
+        QuarantineVerdict::Refused(left) => {
+            return refuse_with_delay(RefusalKind::Quarantined, left);
+        }
         verdict => verdict == QuarantineVerdict::TryAlone,
     };
     let deadline = arrival.deadline;
     let offer = guard_request(call, deadline, alone);
     let (request, offer) = match arrival.over_link && !request.body().is_end_stream() {
-        true => match take_in(&server, request, offer).await {
+        true => match receive_upload(&server, request, offer).await {
             Ok(taken) => taken,
             Err(response) => return *response,
         },
         false => (request, offer),
     };
-    let fetched = arrival.at.elapsed();
+    let upload_time = arrival.at.elapsed();
     let permit = match admit(context, &server, call, &offer).await {
         Ok(permit) => permit,
         Err(refusal) => return refuse_admission(&server, refusal),
     };
     let key = claim_key(&request, call);
-    let hold = match claim(context, key, deadline).await {
-        Ok(hold) => hold,
+    let claim = match claim(context, key, deadline).await {
+        Ok(claim) => claim,
         Err(response) => return *response,
     };
     let admitted_at = Instant::now();
-    let admitted = AdmittedRequest { permit, hold, fetched, admitted_at, deadline };
+    let admitted = AdmittedRequest { permit, claim, upload_time, admitted_at, deadline };
     send(context, &server, request, call, admitted, stage).await
 }
 
 /// Takes the body of a request off the link, if it is worth that, and gives the request with what it is
 /// then offered as.
-async fn take_in(
+async fn receive_upload(
     server: &GuardedServer,
     request: Request<ProxyBody>,
     offer: GuardRequest,
-) -> Result<(Request<ProxyBody>, GuardRequest), OwnAnswer> {
+) -> Result<(Request<ProxyBody>, GuardRequest), DaemonAnswer> {
     let is_upload = is_large(request.body());
     if is_upload {
-        let considered = server.gate.consider_upload(&offer, &server.uploads.ahead());
+        let considered = server.gate.consider_upload(&offer, &server.upload_transfers.ahead());
         considered.map_err(|refusal| Box::new(refuse_admission(server, refusal)))?;
     }
-    let _coming = ComingCount::new(&server.coming);
-    let request = fetch_body(request, &server.uploads).await.map_err(|err| {
+    let _coming = IncomingCount::new(&server.incoming);
+    let request = receive_body(request, &server.upload_transfers).await.map_err(|err| {
         log::info!("guard: a request's body broke off: {err}.");
         Box::new(refuse(RefusalKind::DeadlineTooNear))
     })?;
@@ -190,7 +192,7 @@
 
 fn refuse_admission(server: &GuardedServer, refusal: Refusal) -> Response<ProxyBody> {
     let Refusal { reason, retry_after, figures } = refusal;
-    let mut response = refuse_until(server.refusal_kind(reason), retry_after);
+    let mut response = refuse_with_delay(server.refusal_kind(reason), retry_after);
     server.hints().write(response.headers_mut());
     if let Some(figures) = figures {
         write_figures(response.headers_mut(), &figures);
@@ -200,7 +202,7 @@
 
 /// Decides how a request may run that was at a server when it died, and tells the log where that is
 /// not as any other.
-fn judge_suspect(
+fn judge_quarantine(
     context: &GuardContext,
     request: &Request<ProxyBody>,
     call: &GuardCall,
@@ -249,22 +251,22 @@
     context: &GuardContext,
     key: Option<ClaimKey>,
     deadline: Instant,
-) -> Result<Option<ClaimHold>, OwnAnswer> {
+) -> Result<Option<PendingClaim>, DaemonAnswer> {
     let Some(key) = key else { return Ok(None) };
     let unavailable = || Box::new(refuse(RefusalKind::ClaimsUnavailable));
     let Some(gate) = &context.claims else { return Err(unavailable()) };
-    let verdict = match ClaimHold::claim(gate.clone(), key, deadline.into_std()).await {
-        Ok(hold) => return Ok(Some(hold)),
+    let verdict = match PendingClaim::claim(gate.clone(), key, deadline.into_std()).await {
+        Ok(claim_held) => return Ok(Some(claim_held)),
         Err(verdict) => verdict,
     };
     Err(match verdict {
         ClaimVerdict::AlreadyRan { status } => {
-            let mut response = lost_answer(RefusalKind::AlreadyRan, RequestOutcome::Ran);
+            let mut response = error_answer(RefusalKind::AlreadyRan, RequestOutcome::Ran);
             response.headers_mut().insert(EARLIER_STATUS_HEADER, status.into());
             Box::new(response)
         }
         ClaimVerdict::AlreadyClaimed => {
-            Box::new(lost_answer(RefusalKind::AlreadyClaimed, RequestOutcome::Unknown))
+            Box::new(error_answer(RefusalKind::AlreadyClaimed, RequestOutcome::Unknown))
         }
         _ => unavailable(),
     })
--- a/components/proxy/src/headers.rs
+++ b/components/proxy/src/headers.rs
@@ -51,7 +51,7 @@
     headers.remove(header::EXPECT);
 }
 
-/// Gives the headers that `Connection` names. `Host` and the length stay even if named: without
+/// Returns the headers that `Connection` names. `Host` and the length stay even if named: without
 /// them the request would be another one.
 fn named_headers(headers: &HeaderMap) -> Vec<HeaderName> {
     let values = headers.get_all(header::CONNECTION).iter();
@@ -107,7 +107,7 @@
 /// Text of a field of the log that there is nothing for.
 pub(crate) const NO_TEXT: &str = "-";
 
-/// Gives a header's value as text for the log.
+/// Returns a header's value as text for the log.
 pub(crate) fn header_text(value: Option<&HeaderValue>) -> &str {
     value.and_then(|value| value.to_str().ok()).unwrap_or(NO_TEXT)
 }
@@ -117,7 +117,7 @@
     headers.get(name)?.to_str().ok()?.parse().ok()
 }
 
-/// Tells whether a call is nested: made by a service for a call that came through a daemon.
+/// Returns whether a call is nested: made by a service for a call that came through a daemon.
 pub(crate) fn is_nested(headers: &HeaderMap) -> bool {
     headers.get(HOPS_HEADER).is_some_and(|hops| hops.as_bytes() != b"0")
 }
--- a/components/proxy/src/hints.rs
+++ b/components/proxy/src/hints.rs
@@ -8,9 +8,9 @@
 use crate::{clock::whole_micros, headers::read_number};
 
 /// Microseconds from admission to the head of the answer.
-const RAN_HEADER: HeaderName = HeaderName::from_static("x-sapphirekeel-ran-us");
+const SERVICE_TIME_HEADER: HeaderName = HeaderName::from_static("x-sapphirekeel-ran-us");
 /// Microseconds from the arrival at the guard to the head of its answer.
-const HELD_HEADER: HeaderName = HeaderName::from_static("x-sapphirekeel-held-us");
+const GUARD_TIME_HEADER: HeaderName = HeaderName::from_static("x-sapphirekeel-held-us");
 /// The guard's load in percent when it answered: a hint for placing, since each entry counts only
 /// its own requests at an endpoint. It is the guard's count and not the server's word, so that it
 /// cannot mislead, but it lags by the way back.
@@ -19,7 +19,7 @@
 const WAIT_HEADER: HeaderName = HeaderName::from_static("x-sapphirekeel-wait-us");
 /// Part of failures among the server's last requests, in thousandths. The guard sees all of them;
 /// each entry would have to lose some of its own to find out.
-const FAILING_HEADER: HeaderName = HeaderName::from_static("x-sapphirekeel-failing");
+const FAILURE_HEADER: HeaderName = HeaderName::from_static("x-sapphirekeel-failing");
 /// What a refusal was decided by, for the log of the daemon of entry.
 const FIGURES_HEADER: HeaderName = HeaderName::from_static("x-sapphirekeel-figures");
 
@@ -32,7 +32,7 @@
     /// How long a request would wait for a slot.
     pub(crate) wait: Duration,
     /// Failures among the last requests, in thousandths.
-    pub(crate) failing: u32,
+    pub(crate) failure_permille: u32,
 }
 
 /// What of it an answer brought; an answer of a lower layer brings nothing.
@@ -40,12 +40,12 @@
 pub(crate) struct ReadHints {
     pub(crate) load: Option<u32>,
     pub(crate) wait: Option<Duration>,
-    pub(crate) failing: Option<u32>,
+    pub(crate) failure_permille: Option<u32>,
     /// Time from admission to the head of the answer, and that in which an upload came over the guard's
     /// link.
-    pub(crate) ran: Option<Duration>,
+    pub(crate) service_time: Option<Duration>,
     /// Time from the arrival at the guard to the head of its answer.
-    pub(crate) held: Option<Duration>,
+    pub(crate) guard_time: Option<Duration>,
 }
 
 impl ServerHints {
@@ -53,7 +53,7 @@
     pub(crate) fn write(&self, headers: &mut HeaderMap) {
         headers.insert(LOAD_HEADER, self.load.into());
         headers.insert(WAIT_HEADER, whole_micros(self.wait).into());
-        headers.insert(FAILING_HEADER, self.failing.into());
+        headers.insert(FAILURE_HEADER, self.failure_permille.into());
     }
 }
 
@@ -65,21 +65,21 @@
         Self {
             load: small(&LOAD_HEADER),
             wait: time(&WAIT_HEADER),
-            failing: small(&FAILING_HEADER),
-            ran: time(&RAN_HEADER),
-            held: time(&HELD_HEADER),
+            failure_permille: small(&FAILURE_HEADER),
+            service_time: time(&SERVICE_TIME_HEADER),
+            guard_time: time(&GUARD_TIME_HEADER),
         }
     }
 }
 
 /// Writes how long a request took from the first of its body to the head of its answer.
-pub(crate) fn write_ran(headers: &mut HeaderMap, took: Duration) {
-    headers.insert(RAN_HEADER, whole_micros(took).into());
+pub(crate) fn write_service_time(headers: &mut HeaderMap, took: Duration) {
+    headers.insert(SERVICE_TIME_HEADER, whole_micros(took).into());
 }
 
-/// Writes how long the guard has held a request.
-pub(crate) fn write_held(headers: &mut HeaderMap, took: Duration) {
-    headers.insert(HELD_HEADER, whole_micros(took).into());
+/// Writes how long the guard has guard_time a request.
+pub(crate) fn write_guard_time(headers: &mut HeaderMap, took: Duration) {
+    headers.insert(GUARD_TIME_HEADER, whole_micros(took).into());
 }
 
 /// Writes what a refusal was decided by.
@@ -89,22 +89,28 @@
 }
 
 /// Writes what became of the calls that a server made for a request.
-pub(crate) fn write_calls(headers: &mut HeaderMap, calls: &str) {
+pub(crate) fn write_failed_calls(headers: &mut HeaderMap, calls: &str) {
     // A service's name that makes no header is left out; the line is poorer by it.
     if let Ok(text) = HeaderValue::from_str(calls) {
         headers.insert(FIGURES_HEADER, text);
     }
 }
 
-/// Gives what a refusal was decided by.
+/// Returns what a refusal was decided by.
 pub(crate) fn read_figures(headers: &HeaderMap) -> Option<&str> {
     headers.get(FIGURES_HEADER)?.to_str().ok()
 }
 
 /// Removes all hints, which are nothing to the caller.
 pub(crate) fn strip_hints(headers: &mut HeaderMap) {
-    for name in [RAN_HEADER, HELD_HEADER, LOAD_HEADER, WAIT_HEADER, FAILING_HEADER, FIGURES_HEADER]
-    {
+    for name in [
+        SERVICE_TIME_HEADER,
+        GUARD_TIME_HEADER,
+        LOAD_HEADER,
+        WAIT_HEADER,
+        FAILURE_HEADER,
+        FIGURES_HEADER,
+    ] {
         headers.remove(name);
     }
 }
--- a/components/proxy/src/greeting.rs
+++ b/components/proxy/src/identity.rs
@@ -14,11 +14,11 @@
 
 /// Time for an answer. The server is on the same instance; one that waits for a slot answers after the
 /// work of others.
-const GREETING_TIMEOUT: Duration = Duration::from_millis(500);
+const IDENTITY_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Why a server could not be asked.
 #[derive(Debug, Error)]
-pub enum GreetingError {
+pub enum IdentityError {
     /// It does not accept.
     #[error("server does not accept: {0}")]
     Refused(#[from] std::io::Error),
@@ -37,21 +37,21 @@
 ///
 /// # Errors
 ///
-/// Returns a [`GreetingError`] if there is no answer.
+/// Returns a [`IdentityError`] if there is no answer.
 pub async fn ask_identity(
     words: &dyn RequestWords,
     address: SocketAddr,
     path: &str,
-) -> Result<Option<ServerIdentity>, GreetingError> {
-    let asked = timeout(GREETING_TIMEOUT, ask(words, address, path)).await;
-    asked.unwrap_or(Err(GreetingError::Timeout))
+) -> Result<Option<ServerIdentity>, IdentityError> {
+    let asked = timeout(IDENTITY_TIMEOUT, ask(words, address, path)).await;
+    asked.unwrap_or(Err(IdentityError::Timeout))
 }
 
 async fn ask(
     words: &dyn RequestWords,
     address: SocketAddr,
     path: &str,
-) -> Result<Option<ServerIdentity>, GreetingError> {
+) -> Result<Option<ServerIdentity>, IdentityError> {
     let stream = TcpStream::connect(address).await?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
     let connection = tokio::spawn(connection);
--- a/components/proxy/src/lib.rs
+++ b/components/proxy/src/lib.rs
@@ -1,46 +1,47 @@
 //! The request path: routing, forwarding and the guard of the local backend server.
 //!
-//! A caller's request enters any daemon, which chooses a backend server and sends through the
-//! daemon beside it. That one alone sends to the server and so knows what it is running. The
+//! A caller's request may enter at any daemon. This entry daemon chooses a backend server and
+//! sends the request to the guard, which is the daemon beside that server. Only the guard sends to
+//! its server, so it knows what the server is running and can keep it from being overloaded. The
 //! design note is `docs/design/requests.md`.
 
+mod abandoned;
 mod answer;
 mod attempt;
-mod attempt_log;
+mod attempt_history;
+mod attempt_record;
 mod body;
 mod call;
 mod claim;
 mod clock;
 mod context;
 mod counters;
-mod departure;
 mod drain;
 mod entry;
+mod entry_answer;
 mod exchange;
 mod failed_calls;
-mod fetch;
 mod forward;
 mod gate;
-mod greeting;
 mod guard;
 mod headers;
 mod hints;
+mod identity;
 mod local;
+mod open_exchange;
 mod outcome;
-mod passed;
 mod peers;
 mod pool;
 mod quarantine;
+mod receive;
+mod request_log;
 mod serve;
-mod served;
 mod sockets;
-mod story;
 mod table;
 mod times;
+mod tracked_body;
 mod transfers;
-mod tries;
 mod upload;
-mod watched;
 mod words;
 
 pub use body::{BodyError, ProxyBody};
@@ -52,8 +53,8 @@
 pub use drain::DrainClock;
 pub use failed_calls::FailedCalls;
 pub use forward::forward;
-pub use greeting::{GreetingError, ask_identity};
 pub use headers::{DEADLINE_HEADER, HOPS_HEADER, RETRIED_HEADER};
+pub use identity::{IdentityError, ask_identity};
 pub use local::{LocalServer, LocalServers, ServerLimits};
 pub use outcome::{
     EARLIER_STATUS_HEADER, OUTCOME_HEADER, REASON_HEADER, RETRY_AFTER_MS_HEADER, RefusalKind,
--- a/components/proxy/src/served.rs
+++ b/components/proxy/src/open_exchange.rs
@@ -6,12 +6,12 @@
 
 use crate::{
     body::BodyError, context::GuardContext, gate::AdmitPermit, local::GuardedServer,
-    pool::ServerSender, quarantine::examine, watched::BodyHold,
+    pool::ServerSender, quarantine::check_for_crash, tracked_body::BodyEndHandler,
 };
 
 /// What an exchange with the server holds until the end of its answer, or until its caller leaves:
 /// then the connection is dropped unread and so closed.
-pub(crate) struct ServerExchange {
+pub(crate) struct OpenExchange {
     pub(crate) context: Arc<GuardContext>,
     pub(crate) server: Arc<GuardedServer>,
     pub(crate) fingerprint: Fingerprint,
@@ -19,33 +19,33 @@
     pub(crate) permit: AdmitPermit,
 }
 
-impl ServerExchange {
+impl OpenExchange {
     /// Ends an exchange whose answer was read whole: its connection may be used again.
     fn complete(self) {
-        self.context.quarantine.note_success(self.fingerprint);
+        self.context.quarantine.record_success(self.fingerprint);
         self.server.pool.release(self.sender);
         self.permit.finish();
     }
 
-    /// Ends an exchange whose connection broke within the answer.
-    fn broke(self) {
-        self.permit.note_broken();
+    /// Ends an exchange whose connection fail within the answer.
+    fn fail(self) {
+        self.permit.record_broken();
         let (quarantine, servers) = (&self.context.quarantine, &self.context.servers);
-        examine(quarantine.clone(), servers.clone(), self.server.clone());
+        check_for_crash(quarantine.clone(), servers.clone(), self.server.clone());
     }
 }
 
-impl BodyHold for ServerExchange {
-    fn end_whole(self) {
+impl BodyEndHandler for OpenExchange {
+    fn on_complete(self) {
         self.complete();
     }
 
-    fn end_cut(self, err: &BodyError) {
+    fn on_failure(self, err: &BodyError) {
         match err {
             // Nothing is wrong with the connection. Dropped unread it is closed, and the server can
             // tell that nobody waits.
             BodyError::DeadlinePassed => {}
-            _ => self.broke(),
+            _ => self.fail(),
         }
     }
 }
--- a/components/proxy/src/outcome.rs
+++ b/components/proxy/src/outcome.rs
@@ -1,4 +1,6 @@
-//! What every answer of ours says about whether the request ran, and why it was refused.
+//! Headers by which every answer of a daemon states whether the request ran and why it was
+//! refused. Callers and other daemons need this to decide whether a request may be sent again
+//! without running twice.
 
 use derive_more::Display;
 use http::{HeaderMap, HeaderName, HeaderValue};
@@ -10,11 +12,11 @@
 pub const REASON_HEADER: &str = "x-sapphirekeel-reason";
 /// Header with the status that an earlier copy of a request was answered with.
 pub const EARLIER_STATUS_HEADER: &str = "x-sapphirekeel-earlier-status";
-/// Header with the time until a refused caller may return, in milliseconds: finer than the
-/// standard `Retry-After`, so that returns can be spread within a second.
+/// Header with the time until a refused caller may retry, in milliseconds: finer than the standard
+/// `Retry-After`, so that retries can be spread within a second.
 pub const RETRY_AFTER_MS_HEADER: &str = "x-sapphirekeel-retry-after-ms";
 
-/// Whether a request ran, as far as the daemon that answers can know.
+/// Whether a request ran, as far as the answering daemon can know.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum RequestOutcome {
     /// No byte of it reached a backend server.
@@ -29,7 +31,7 @@
 }
 
 impl RequestOutcome {
-    /// Gives the header's value.
+    /// Returns the header's value.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not-run",
@@ -54,7 +56,8 @@
         headers.insert(name, HeaderValue::from_static(self.as_str()));
     }
 
-    pub(crate) fn to_run(self, kind: Option<RefusalKind>) -> RunOutcome {
+    /// Converts the outcome for the retry decision; a rejection by the server counts apart.
+    pub(crate) fn run_outcome(self, kind: Option<RefusalKind>) -> RunOutcome {
         match self {
             Self::NotRun if kind == Some(RefusalKind::TurnedAway) => RunOutcome::TurnedAway,
             Self::NotRun => RunOutcome::NotRun,
@@ -76,7 +79,7 @@
             /// All kinds, in the order of their discriminants.
             pub const ALL: &'static [Self] = &[$(Self::$kind,)*];
 
-            /// Gives the header's value.
+            /// Returns the header's value.
             pub fn as_str(self) -> &'static str {
                 match self {
                     $(Self::$kind => $text,)*
@@ -99,35 +102,35 @@
     Malformed = "malformed",
     /// The body is larger than the settings allow.
     TooLarge = "too-large",
-    /// The call has taken too many hops.
+    /// The call has passed too many daemons.
     HopLimit = "hop-limit",
     /// The guard of the endpoint cannot be reached.
     Unreachable = "unreachable",
-    /// The sender at the guard is no daemon of this fleet.
+    /// The sender is not a daemon of this fleet.
     Unauthorized = "unauthorized",
-    /// The backend server that was meant is no longer beside the guard.
+    /// The intended backend server is no longer beside the guard.
     ServerGone = "server-gone",
-    /// The backend server takes no connection.
+    /// The backend server accepts no connection.
     ServerUnreachable = "server-unreachable",
-    /// No slot is free at the server, and the request may not wait yet.
+    /// No slot is free at the server, and the sender asked not to queue the request.
     Busy = "busy",
-    /// It would be answered only after its response-time goal.
+    /// The request would be answered only after its response-time goal.
     GoalMissed = "goal-missed",
     /// The guard's queue is full.
     QueueFull = "queue-full",
     /// The request could not finish in time.
     DeadlineTooNear = "deadline-too-near",
-    /// Its team or caller holds its share of the queue.
+    /// Its team or caller already uses its full share of the queue.
     ShareExceeded = "share-exceeded",
     /// The backend server or the daemon is leaving.
     Draining = "draining",
     /// The queue is full because the server has just started.
     ColdStart = "cold-start",
-    /// The request must run alone and cannot now.
+    /// The request must run alone, which is not possible now.
     TrialUnderWay = "trial-under-way",
-    /// The request crashed servers and is held back.
+    /// The request crashed servers and is quarantined.
     Quarantined = "quarantined",
-    /// Whether a keyed request ran before cannot be found out now.
+    /// Whether a keyed request has already run cannot be determined now.
     ClaimsUnavailable = "claims-unavailable",
     /// An earlier copy of the keyed request ran.
     AlreadyRan = "already-ran",
@@ -135,11 +138,11 @@
     AlreadyClaimed = "already-claimed",
     /// The deadline passed while the request ran.
     DeadlinePassed = "deadline-passed",
-    /// The answer did not come back.
+    /// The answer was lost.
     AnswerLost = "answer-lost",
-    /// The answer cannot be the server's whole answer to this request.
+    /// The answer cannot be the server's complete answer to this request.
     AnswerUnsound = "answer-unsound",
-    /// The server got the request and said that it did not run it.
+    /// The server received the request and reported that it did not run it.
     TurnedAway = "turned-away",
 }
 
@@ -150,14 +153,15 @@
         Self::ALL.iter().copied().find(|kind| kind.as_str().as_bytes() == text)
     }
 
-    /// Tells whether the endpoint had no room for it: no slot, no place in its queue, or none in time.
-    pub(crate) fn is_want_of_room(self) -> bool {
+    /// Returns whether the endpoint lacked capacity: no slot, no place in its queue, or none in
+    /// time.
+    pub(crate) fn is_capacity_refusal(self) -> bool {
         matches!(self, Self::Busy | Self::GoalMissed | Self::QueueFull | Self::DeadlineTooNear)
     }
 
-    /// Tells whether another endpoint may decide otherwise. A quarantined request or a claimed key
-    /// is refused everywhere, so that trying elsewhere only costs the retry budget.
-    pub(crate) fn is_local(self) -> bool {
+    /// Returns whether another endpoint may decide differently. A quarantined request or a claimed
+    /// key is refused everywhere, so an attempt elsewhere would only use up the retry budget.
+    pub(crate) fn is_endpoint_specific(self) -> bool {
         !matches!(
             self,
             Self::Quarantined
--- a/components/proxy/src/peers.rs
+++ b/components/proxy/src/peers.rs
@@ -28,7 +28,7 @@
 use crate::{
     body::ProxyBody,
     call::{GuardCall, GuardToken},
-    clock::{process_now, trip_now, whole_micros},
+    clock::{process_now, transit_now, whole_micros},
     sockets::watch_silence,
 };
 
@@ -46,7 +46,7 @@
 /// Largest head of an answer, in bytes.
 const MAX_HEAD_BYTES: u32 = 64 * 1024;
 /// Bytes in flight of one answer. Bounds what a slow caller holds in memory here, and what a large
-/// answer puts before short ones on a slow link: 18 ms at 7.5 Mbit/s. Within a region, where a round
+/// answer puts before short ones on a slow connection: 18 ms at 7.5 Mbit/s. Within a region, where a round
 /// trip takes two milliseconds, it still lets 8 megabytes a second through.
 const STREAM_WINDOW: u32 = 16 * 1024;
 /// Bytes in flight of all answers of one peer.
@@ -60,11 +60,11 @@
 
 /// Connections that are tried for one request: one that may have ended unnoticed, and a new one. A
 /// request that was sent is not sent again here.
-const MOST_LINKS: u32 = 2;
+const MAX_CONNECTIONS_TRIED: u32 = 2;
 
 /// Why no connection to another daemon was had.
 #[derive(Clone, Debug, Error)]
-pub(crate) enum LinkError {
+pub(crate) enum PeerConnectError {
     /// Nobody listens there, or nobody can be reached.
     #[error("not connected: {0}")]
     Refused(Arc<io::Error>),
@@ -84,7 +84,7 @@
 pub(crate) enum PeerError {
     /// Nothing of it was sent.
     #[error(transparent)]
-    Unsent(LinkError),
+    Unsent(PeerConnectError),
     /// It may have been sent.
     #[error(transparent)]
     Lost(hyper::Error),
@@ -92,34 +92,34 @@
 
 /// A connection to one guard.
 #[derive(Clone)]
-struct PeerLink {
+struct PeerConnection {
     sender: SendRequest<ProxyBody>,
     opening: LinkOpening,
 }
 
-type LinkFuture = Shared<BoxFuture<'static, Result<PeerLink, LinkError>>>;
+type ConnectionFuture = Shared<BoxFuture<'static, Result<PeerConnection, PeerConnectError>>>;
 
 /// A connection that is open or being opened.
 #[derive(Clone)]
-struct PeerEntry {
-    link: LinkFuture,
+struct SharedConnection {
+    connection: ConnectionFuture,
     /// Microsecond on the process's clock at which it was last asked for.
     used_us: Arc<AtomicU64>,
 }
 
-type EntryMap = HashMap<Authority, PeerEntry>;
+type ConnectionMap = HashMap<Authority, SharedConnection>;
 
 /// Sends requests to guards, over one HTTP/2 connection to each.
 #[derive(Clone)]
 pub struct PeerClient {
-    entries: Arc<ArcSwap<EntryMap>>,
+    connections: Arc<ArcSwap<ConnectionMap>>,
     token: GuardToken,
 }
 
 impl PeerClient {
-    /// Makes a client without connections.
+    /// Creates a client without connections.
     pub fn new(token: GuardToken) -> Self {
-        Self { entries: Arc::default(), token }
+        Self { connections: Arc::default(), token }
     }
 
     /// Sends a request to a guard and gives the head of its answer.
@@ -135,19 +135,20 @@
     ) -> Result<Response<Incoming>, PeerError> {
         address_to(&mut request, guard);
         self.token.write(request.headers_mut());
-        let mut ended = LinkError::Closed;
-        for _ in 0..MOST_LINKS {
+        let mut ended = PeerConnectError::Closed;
+        for _ in 0..MAX_CONNECTIONS_TRIED {
             let asked_at = Instant::now();
-            let entry = self.entry(guard);
-            let link = entry.link.clone().await.inspect_err(|_| self.remove(guard, &entry));
-            let mut link = link.map_err(PeerError::Unsent)?;
-            if link.sender.is_closed() {
-                self.remove(guard, &entry);
+            let shared = self.shared(guard);
+            let connection =
+                shared.connection.clone().await.inspect_err(|_| self.remove(guard, &shared));
+            let mut connection = connection.map_err(PeerError::Unsent)?;
+            if connection.sender.is_closed() {
+                self.remove(guard, &shared);
                 continue;
             }
-            call.depart(asked_at.elapsed(), link.opening);
+            call.mark_sent(asked_at.elapsed(), connection.opening);
             call.write(request.headers_mut());
-            let mut failure = match link.sender.try_send_request(request).await {
+            let mut failure = match connection.sender.try_send_request(request).await {
                 Ok(response) => return Ok(response),
                 Err(failure) => failure,
             };
@@ -157,53 +158,55 @@
                 Some(unsent) => request = unsent,
                 None => return Err(PeerError::Lost(err)),
             }
-            self.remove(guard, &entry);
-            ended = LinkError::Ended(Arc::new(err));
+            self.remove(guard, &shared);
+            ended = PeerConnectError::Ended(Arc::new(err));
         }
         Err(PeerError::Unsent(ended))
     }
 
-    /// Gives the connection to a guard, which is opened if there is none.
-    fn entry(&self, guard: &Authority) -> PeerEntry {
-        if let Some(entry) = self.entries.load().get(guard) {
-            entry.touch();
-            return entry.clone();
+    /// Returns the connection to a guard, which is opened if there is none.
+    fn shared(&self, guard: &Authority) -> SharedConnection {
+        if let Some(shared) = self.connections.load().get(guard) {
+            shared.touch();
+            return shared.clone();
         }
-        let new = PeerEntry::open(guard.clone());
-        let before = self.entries.rcu(|entries| {
-            let mut entries = EntryMap::clone(entries);
-            entries.retain(|_, entry| !entry.is_idle());
-            entries.entry(guard.clone()).or_insert_with(|| new.clone());
-            entries
+        let new = SharedConnection::open(guard.clone());
+        let before = self.connections.rcu(|connections| {
+            let mut connections = ConnectionMap::clone(connections);
+            connections.retain(|_, shared| !shared.is_idle());
+            connections.entry(guard.clone()).or_insert_with(|| new.clone());
+            connections
         });
         match before.get(guard) {
             // Another request has begun to open one meanwhile.
-            Some(entry) => entry.clone(),
+            Some(shared) => shared.clone(),
             None => {
                 // Goes on when the request that asked for it ends: others wait for it too.
-                tokio::spawn(new.link.clone());
+                tokio::spawn(new.connection.clone());
                 new
             }
         }
     }
 
     /// Removes a connection that is no longer of use, unless another has taken its place.
-    fn remove(&self, guard: &Authority, entry: &PeerEntry) {
-        self.entries.rcu(|entries| {
-            let mut entries = EntryMap::clone(entries);
-            if entries.get(guard).is_some_and(|held| held.link.ptr_eq(&entry.link)) {
-                entries.remove(guard);
+    fn remove(&self, guard: &Authority, shared: &SharedConnection) {
+        self.connections.rcu(|connections| {
+            let mut connections = ConnectionMap::clone(connections);
+            if connections.get(guard).is_some_and(|held| held.connection.ptr_eq(&shared.connection))
+            {
+                connections.remove(guard);
             }
-            entries
+            connections
         });
     }
 }
 
-impl PeerEntry {
+impl SharedConnection {
     fn open(guard: Authority) -> Self {
-        let entry = Self { link: open_link(guard).boxed().shared(), used_us: Arc::default() };
-        entry.touch();
-        entry
+        let shared =
+            Self { connection: open_connection(guard).boxed().shared(), used_us: Arc::default() };
+        shared.touch();
+        shared
     }
 
     fn touch(&self) {
@@ -226,15 +229,15 @@
     *request.version_mut() = http::Version::HTTP_2;
 }
 
-async fn open_link(guard: Authority) -> Result<PeerLink, LinkError> {
-    let began = trip_now();
+async fn open_connection(guard: Authority) -> Result<PeerConnection, PeerConnectError> {
+    let began = transit_now();
     let connect = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(guard.as_str())).await;
     let stream = connect
-        .map_err(|_| LinkError::Timeout)?
-        .map_err(|err| LinkError::Refused(Arc::new(err)))?;
-    let opening = LinkOpening { began, took: trip_now().saturating_sub(began) };
+        .map_err(|_| PeerConnectError::Timeout)?
+        .map_err(|err| PeerConnectError::Refused(Arc::new(err)))?;
+    let opening = LinkOpening { began, took: transit_now().saturating_sub(began) };
     // A small request must not wait for the acknowledgement of the one before.
-    stream.set_nodelay(true).map_err(|err| LinkError::Refused(Arc::new(err)))?;
+    stream.set_nodelay(true).map_err(|err| PeerConnectError::Refused(Arc::new(err)))?;
     watch_silence(&stream);
     let (sender, connection) = http2::Builder::new(TokioExecutor::new())
         .timer(TokioTimer::new())
@@ -247,11 +250,11 @@
         .keep_alive_timeout(PING_TIMEOUT)
         .handshake(TokioIo::new(stream))
         .await
-        .map_err(|err| LinkError::Ended(Arc::new(err)))?;
+        .map_err(|err| PeerConnectError::Ended(Arc::new(err)))?;
     tokio::spawn(async move {
         if let Err(err) = connection.await {
             log::debug!("proxy: a connection to {guard} ended: {err}.");
         }
     });
-    Ok(PeerLink { sender, opening })
+    Ok(PeerConnection { sender, opening })
 }
--- a/components/proxy/src/pool.rs
+++ b/components/proxy/src/pool.rs
@@ -70,7 +70,7 @@
 }
 
 impl ServerPool {
-    /// Makes a pool without connections.
+    /// Creates a pool without connections.
     pub(crate) fn new(address: SocketAddr, settings: PacerSettings) -> Self {
         let pacer = ConnectPacer::new(settings);
         let state =
@@ -78,7 +78,7 @@
         Self { address, state: Mutex::new(state), returned: Notify::new() }
     }
 
-    /// Gives an idle connection that is trusted for the request, or opens one, paced and within the
+    /// Returns an idle connection that is trusted for the request, or opens one, paced and within the
     /// server's limit.
     ///
     /// # Errors
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Takes note that a connection was found dead that had been idle for a time.
-    pub(crate) fn note_stale(&self, idle: Duration) {
+    /// Records that a connection was found dead that had been idle for a time.
+    pub(crate) fn record_stale(&self, idle: Duration) {
         self.lock().trust.note_stale(idle, process_now());
     }
 
@@ -144,12 +144,12 @@
         state.idle.clear();
     }
 
-    /// Gives the number of connections that are open.
+    /// Returns the number of connections that are open.
     pub(crate) fn open_count(&self) -> u32 {
         self.lock().pacer.open_count()
     }
 
-    /// Tells whether the server accepts a connection, which is closed at once.
+    /// Returns whether the server accepts a connection, which is closed at once.
     pub(crate) async fn is_accepting(&self) -> bool {
         let connect = TcpStream::connect(self.address);
         matches!(tokio::time::timeout(CONNECT_TIMEOUT, connect).await, Ok(Ok(_)))
@@ -191,7 +191,7 @@
 }
 
 impl PoolState {
-    /// Gives the connection used last, so that those not needed grow old and close.
+    /// Returns the connection used last, so that those not needed grow old and close.
     fn take_idle(&mut self, is_repeatable: bool) -> Option<AcquiredSender> {
         let limit = self.trust.limit(is_repeatable, process_now());
         while let Some(last) = self.idle.pop() {
--- a/components/proxy/src/quarantine.rs
+++ b/components/proxy/src/quarantine.rs
@@ -15,15 +15,15 @@
 
 use crate::{
     clock::stable_hash,
-    gate::ServerFlight,
+    gate::InFlightRequest,
     local::{GuardedServer, LocalServers},
 };
 
 /// Time after the first broken connection in which the others of a dead server break too. They are
 /// on the same instance, so it takes well under a millisecond; the rest is for a busy machine.
-const EXAMINE_DELAY: Duration = Duration::from_millis(20);
+const CRASH_CHECK_DELAY: Duration = Duration::from_millis(20);
 /// Broken connections that tell a server's end even if another accepts in its place already.
-const MANY_BROKEN: usize = 2;
+const MIN_CRASH_BREAKS: usize = 2;
 
 /// Suspects and convicted requests of the whole fleet, as far as this daemon has heard.
 pub struct QuarantineBoard {
@@ -41,7 +41,7 @@
 }
 
 impl QuarantineBoard {
-    /// Makes an empty board.
+    /// Creates an empty board.
     pub fn new(settings: QuarantineSettings) -> Self {
         Self {
             table: Mutex::new(QuarantineTable::new(settings)),
@@ -50,12 +50,12 @@
         }
     }
 
-    /// Gives all entries, for other daemons and for a dump.
+    /// Returns all entries, for other daemons and for a dump.
     pub fn entries(&self) -> Vec<SuspectRecord> {
         self.lock().export()
     }
 
-    /// Gives the entries that changed since the last call, to be sent to other daemons.
+    /// Returns the entries that changed since the last call, to be sent to other daemons.
     pub fn take_changed(&self) -> Vec<SuspectRecord> {
         self.lock().take_changed()
     }
@@ -65,17 +65,17 @@
         self.change(|table| table.merge(entries));
     }
 
-    /// Gives a number that grows with each change, also by [`QuarantineBoard::merge`].
+    /// Returns a number that grows with each change, also by [`QuarantineBoard::merge`].
     pub fn revision(&self) -> u64 {
         self.revision.load(Ordering::Acquire)
     }
 
-    /// Gives the number of requests held.
+    /// Returns the number of requests held.
     pub fn len(&self) -> usize {
         self.lock().len()
     }
 
-    /// Tells whether no request is held.
+    /// Returns whether no request is held.
     pub fn is_empty(&self) -> bool {
         !self.has_records.load(Ordering::Acquire)
     }
@@ -88,22 +88,23 @@
         }
     }
 
-    /// Takes note that a request ran to its end. Skipped while another thread has the table: a
+    /// Records that a request ran to its end. Skipped while another thread has the table: a
     /// missed success costs a suspect one more trial, a wait would cost every request.
-    pub(crate) fn note_success(&self, fingerprint: Fingerprint) {
+    pub(crate) fn record_success(&self, fingerprint: Fingerprint) {
         if let Ok(mut table) = self.table.try_lock() {
             table.record_success(fingerprint, unix_time());
         }
     }
 
-    /// Takes note of a server's death with the requests it had.
-    pub(crate) fn note_crash(&self, server: &str, flights: &[ServerFlight]) {
-        let in_flight: Vec<Fingerprint> = flights.iter().map(|flight| flight.fingerprint).collect();
+    /// Records a server's death with the requests it had.
+    pub(crate) fn record_crash(&self, server: &str, requests: &[InFlightRequest]) {
+        let in_flight: Vec<Fingerprint> =
+            requests.iter().map(|request| request.fingerprint).collect();
         let report = CrashReport {
             occasion: stable_hash(&[server.as_bytes()]),
             at: unix_time(),
             in_flight: &in_flight,
-            is_trial: flights.iter().all(|flight| flight.is_trial),
+            is_trial: requests.iter().all(|request| request.is_trial),
         };
         self.change(|table| table.record_crash(&report));
     }
@@ -126,25 +127,26 @@
 ///
 /// One broken connection alone may be the server's own choice, as when a handler fails. A server
 /// that died accepts no connection, and all its connections break at once.
-pub(crate) fn examine(
+pub(crate) fn check_for_crash(
     board: Arc<QuarantineBoard>,
     servers: Arc<LocalServers>,
     server: Arc<GuardedServer>,
 ) {
-    if server.is_retired() || !server.begin_examination() {
+    if server.is_retired() || !server.begin_crash_check() {
         return;
     }
     tokio::spawn(async move {
-        tokio::time::sleep(EXAMINE_DELAY).await;
-        let all_broke = server.gate.broken_count() >= MANY_BROKEN && server.pool.open_count() == 0;
+        tokio::time::sleep(CRASH_CHECK_DELAY).await;
+        let all_broke =
+            server.gate.broken_count() >= MIN_CRASH_BREAKS && server.pool.open_count() == 0;
         if all_broke || !server.pool.is_accepting().await {
-            let flights = server.gate.take_flights();
-            log::warn!("guard: server {} died with {} requests.", server.id, flights.len());
-            board.note_crash(&server.id, &flights);
+            let in_flight = server.gate.take_in_flight();
+            log::warn!("guard: server {} died with {} requests.", server.id, in_flight.len());
+            board.record_crash(&server.id, &in_flight);
             servers.remove(&server.id);
         } else {
             server.gate.forget_broken();
         }
-        server.end_examination();
+        server.end_crash_check();
     });
 }
--- a/components/proxy/src/fetch.rs
+++ b/components/proxy/src/receive.rs
@@ -10,14 +10,14 @@
 
 use crate::{
     body::{BodyError, PrefixedBody, ProxyBody, whole_body},
-    transfers::{TransferLine, TurnBody},
+    transfers::{ScheduledBody, TransferScheduler},
     upload::{BodyPrefix, read_prefix},
 };
 
 /// Counts a request until its body is here, or it is given up.
-pub(crate) struct ComingCount<'a>(&'a AtomicU32);
+pub(crate) struct IncomingCount<'a>(&'a AtomicU32);
 
-impl<'a> ComingCount<'a> {
+impl<'a> IncomingCount<'a> {
     /// Counts one more.
     pub(crate) fn new(count: &'a AtomicU32) -> Self {
         count.fetch_add(1, Ordering::AcqRel);
@@ -25,7 +25,7 @@
     }
 }
 
-impl Drop for ComingCount<'_> {
+impl Drop for IncomingCount<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
@@ -37,12 +37,12 @@
 /// # Errors
 ///
 /// Returns the [`BodyError`] of a body that broke off. The server was sent nothing.
-pub(crate) async fn fetch_body(
+pub(crate) async fn receive_body(
     request: Request<ProxyBody>,
-    line: &Arc<TransferLine>,
+    scheduler: &Arc<TransferScheduler>,
 ) -> Result<Request<ProxyBody>, BodyError> {
     let (parts, body) = request.into_parts();
-    let mut rest = TurnBody::new(body, line);
+    let mut rest = ScheduledBody::new(body, scheduler);
     let body = match read_prefix(&mut rest).await? {
         BodyPrefix::Whole(bytes) => whole_body(bytes),
         BodyPrefix::Part(bytes) => PrefixedBody::new(bytes, rest).boxed_unsync(),
--- a/components/proxy/src/story.rs
+++ b/components/proxy/src/request_log.rs
@@ -1,7 +1,7 @@
-//! What became of a request, as one line of the log.
+//! The log line of a request at its entry daemon.
 //!
-//! The line holds every attempt with the daemon and server it went to, what that answered and how
-//! long it took, so that the cause of a failure stands where its caller met it.
+//! The line lists every attempt with its daemon and server, the answer and the time taken, so the
+//! cause of a failure is found in the log of the daemon that the caller used.
 
 use std::{net::IpAddr, sync::Arc, time::Duration};
 
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 use crate::{
-    attempt_log::AttemptLog,
+    attempt_history::AttemptHistory,
     body::ProxyBody,
     context::ForwardContext,
     failed_calls::CallNumber,
@@ -18,8 +18,8 @@
     outcome::{RefusalKind, RequestOutcome},
 };
 
-/// A request from its arrival on.
-pub(crate) struct RequestStory {
+/// A request from its arrival until its log line is written.
+pub(crate) struct RequestLog {
     context: Arc<ForwardContext>,
     began: Instant,
     attempt: Option<HeaderValue>,
@@ -29,21 +29,22 @@
     path: String,
     pub(crate) version: Version,
     service: Option<Arc<str>>,
-    /// Time that the caller and the route left at the arrival.
+    /// Time that the caller and the route allow, at the arrival.
     pub(crate) deadline: Option<Duration>,
-    /// What has been tried.
-    pub(crate) log: AttemptLog,
+    /// Attempts made for the request.
+    pub(crate) history: AttemptHistory,
     /// Rank of the route.
     pub(crate) rank: u8,
     /// Response-time goal of the route.
     pub(crate) goal_ms: Option<u64>,
-    /// The call of the local server that it is, where it is one.
+    /// Number in [`FailedCalls`](crate::FailedCalls), if the local server makes this call for a
+    /// request of its own.
     call: Option<CallNumber>,
-    /// Whether the line is written.
+    /// Whether the line is already written.
     is_written: bool,
 }
 
-impl RequestStory {
+impl RequestLog {
     pub(crate) fn new(
         context: Arc<ForwardContext>,
         attempt: Option<HeaderValue>,
@@ -63,7 +64,7 @@
             version: 0,
             service: None,
             deadline: None,
-            log: AttemptLog::default(),
+            history: AttemptHistory::default(),
             rank: 0,
             goal_ms: None,
             call: None,
@@ -71,36 +72,36 @@
         }
     }
 
-    /// Gives the service that the route leads to, where there is one.
+    /// Returns the service that the route leads to, once it is known.
     pub(crate) fn service(&self) -> Option<&str> {
         self.service.as_deref()
     }
 
-    /// Gives the time since the arrival.
+    /// Returns the time since the arrival.
     pub(crate) fn took(&self) -> Duration {
         self.began.elapsed()
     }
 
-    /// Gives the caller's id of the attempt, for a line that is written later.
+    /// Returns the caller's id of the attempt, for a later log line.
     pub(crate) fn attempt(&self) -> Option<HeaderValue> {
         self.attempt.clone()
     }
 
-    /// Writes the line of an answer: as a failure where the caller got one.
-    pub(crate) fn write(&mut self, response: &Response<ProxyBody>) {
+    /// Writes the line of an answered request, as a warning if it failed.
+    pub(crate) fn write_answered(&mut self, response: &Response<ProxyBody>) {
         let outcome = RequestOutcome::read(response.headers()).unwrap_or(RequestOutcome::Unknown);
         let is_failed = outcome != RequestOutcome::Ran || response.status().is_server_error();
-        let end = StoryEnd {
+        let end = RequestEnd {
             level: if is_failed { log::Level::Warn } else { log::Level::Info },
             text: "answered",
             status: response.status().as_u16(),
             outcome: outcome.as_str(),
             reason: RefusalKind::read(response.headers()).map_or(NO_TEXT, RefusalKind::as_str),
         };
-        self.write_end(&end);
+        self.write_line(&end);
     }
 
-    /// Notes the service that the route leads to.
+    /// Sets the service that the route leads to, and registers a call of the local server.
     pub(crate) fn set_service(&mut self, service: &Arc<str>) {
         self.service = Some(service.clone());
         let words = &self.context.words;
@@ -108,10 +109,10 @@
         self.call = parent.map(|parent| self.context.guard.failed_calls.begin(parent, service));
     }
 
-    /// Tells the guard how a call of its server's ended.
-    fn end_call(&mut self, end: &StoryEnd) {
+    /// Reports to the guard how a call of its server ended.
+    fn finish_call(&mut self, end: &RequestEnd) {
         if let Some(call) = self.call.take() {
-            let StoryEnd { text, status, reason, .. } = end;
+            let RequestEnd { text, status, reason, .. } = end;
             let took = self.took().as_millis();
             let is_failed = !(200..300).contains(status);
             let failure = is_failed.then(|| format!("{text} {status} {reason} after {took}ms"));
@@ -119,15 +120,15 @@
         }
     }
 
-    fn write_end(&mut self, end: &StoryEnd) {
+    fn write_line(&mut self, end: &RequestEnd) {
         self.is_written = true;
-        self.end_call(end);
+        self.finish_call(end);
         if !log::log_enabled!(end.level) {
             return;
         }
-        let tries = self.log.take_tries();
-        let tries: Vec<String> = tries.iter().map(ToString::to_string).collect();
-        let gave_up = self.log.gave_up.map(|reason| reason.to_string());
+        let records = self.history.take_records();
+        let attempts: Vec<String> = records.iter().map(ToString::to_string).collect();
+        let gave_up = self.history.gave_up.map(|reason| reason.to_string());
         let deadline_ms = self.deadline.map_or(0, |left| left.as_millis() as u64);
         log::log!(
             end.level,
@@ -141,7 +142,7 @@
             status = end.status,
             outcome = end.outcome,
             reason = end.reason,
-            tries = tries.join("; ").as_str(),
+            tries = attempts.join("; ").as_str(),
             gave_up = gave_up.as_deref().unwrap_or(NO_TEXT),
             rank = self.rank,
             goal_ms = self.goal_ms.unwrap_or_default(),
@@ -153,7 +154,7 @@
 }
 
 /// How a request ended for its caller.
-struct StoryEnd {
+struct RequestEnd {
     level: log::Level,
     text: &'static str,
     status: u16,
@@ -161,19 +162,19 @@
     reason: &'static str,
 }
 
-impl Drop for RequestStory {
-    /// Writes the line of a caller that left: the request's work is dropped where it stands, and
-    /// without this a caller's complaint would find no line at all.
+impl Drop for RequestLog {
+    /// Writes the line of a request whose caller disconnected. Its work is cancelled at that
+    /// moment, and without this line a caller's complaint could not be traced in the log.
     fn drop(&mut self) {
         if !self.is_written {
-            let left = StoryEnd {
+            let left = RequestEnd {
                 level: log::Level::Info,
                 text: "caller left",
                 status: 0,
                 outcome: RequestOutcome::Unknown.as_str(),
                 reason: NO_TEXT,
             };
-            self.write_end(&left);
+            self.write_line(&left);
         }
     }
 }
--- a/components/proxy/src/serve.rs
+++ b/components/proxy/src/serve.rs
@@ -1,4 +1,5 @@
-//! Listeners of the request path.
+//! Listeners of the request path and their orderly shutdown, during which no request may be lost
+//! with an unknown outcome.
 
 use std::{
     convert::Infallible,
@@ -21,12 +22,12 @@
 use tokio::{net::TcpListener, sync::watch, task::JoinHandle, time::Instant};
 
 use crate::{
-    answer::refuse_until,
+    answer::refuse_with_delay,
     body::ProxyBody,
-    clock::trip_now,
+    clock::transit_now,
     context::{ForwardContext, GuardContext},
     forward::forward,
-    guard::guard,
+    guard::handle_peer_request,
     headers::is_nested,
     outcome::RefusalKind,
     sockets::watch_accepted,
@@ -34,65 +35,67 @@
 
 /// Pause after a failed accept, which usually means that no file descriptor is left.
 const ACCEPT_RETRY: Duration = Duration::from_millis(50);
-/// Time for a caller to stay idle and then to send a whole head, where the configuration sets no
-/// limits. Without a bound, connections that send a byte now and then would hold all file
+/// Time in which a caller may stay idle and then send a whole head, where the configuration sets
+/// no limits. Without a bound, connections that send a byte now and then would occupy all file
 /// descriptors.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time between the first refusal and the end of connections. Whoever still sends hears of the
-/// refusal and goes elsewhere. A request that met the end of its connection instead would be lost
-/// with an outcome that its sender cannot know, although it did not run.
-const REFUSE_TIME: Duration = Duration::from_millis(200);
-/// Largest head of a caller's request; a larger one is answered with 431.
+/// Shortest time between the first refusal and the close of connections. A client that still sends
+/// receives the refusal and goes elsewhere. A request that met the close of its connection instead
+/// would end with an unknown outcome for its sender, although it did not run.
+const MIN_REFUSAL_TIME: Duration = Duration::from_millis(200);
+/// Largest head of a caller's request in bytes; a larger one is answered with 431.
 const ENTRY_HEAD_BYTES: u32 = 32 * 1024;
-/// Largest head at the guard: a caller's and what the daemon of entry adds.
+/// Largest head at the guard in bytes: a caller's and what the entry daemon adds.
 const GUARD_HEAD_BYTES: u32 = 64 * 1024;
-/// Requests at once on one connection of a caller.
+/// Concurrent requests on one connection of a caller.
 const ENTRY_STREAMS: u32 = 256;
-/// Requests at once from one daemon: all slots and queue places of a server several times over, so
-/// that the guard's refusal, not a wait for a stream, is what a daemon gets.
+/// Concurrent requests from one daemon: all slots and queue places of a server several times over,
+/// so that a daemon receives the guard's refusal and does not wait for a stream.
 const GUARD_STREAMS: u32 = 1024;
-/// Requests on one connection whose sender left before they were looked at. A herd of leaving
-/// callers, who share a connection, passes the library's default of 20 at once, and it would then
-/// end the connection with all other requests on it. Each takes less than a kilobyte.
+/// Requests on one connection that may be reset before they are accepted. Many callers that share
+/// a connection and leave at once exceed the library's default of 20, and the library would then
+/// close the connection with all other requests on it. Each takes less than a kilobyte.
 const ENTRY_RESETS: usize = 1024;
-/// The same for a daemon, which is trusted and brings the callers of a whole instance.
+/// The same for a daemon, which is trusted and carries the callers of a whole instance.
 const GUARD_RESETS: usize = 16 * 1024;
 /// Bytes in flight of one request's body.
 const STREAM_WINDOW: u32 = 256 * 1024;
-/// The same for a body that another daemon sends, which may yet be refused, and which short calls to the
-/// same instance stand behind.
+/// The same for a body from another daemon, which may yet be refused, and behind which short calls
+/// to the same instance wait.
 const GUARD_STREAM_WINDOW: u32 = 16 * 1024;
 /// Bytes of one answer that wait here for the link. The rest waits at the server, whose slot stays
-/// taken, so that a link that is full counts like a full server.
+/// taken, so that a full link counts like a full server.
 const SEND_BUFFER: usize = 16 * 1024;
 /// Bytes in flight of all bodies on one connection.
 const CONNECTION_WINDOW: u32 = 2 * 1024 * 1024;
 
-/// How far a listener has come on its way out; zero before the first of these.
+/// How far a listener's shutdown has come; the stored number is zero before the first stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 enum DrainStage {
-    /// Takes all, and asks callers to go elsewhere with the next.
+    /// Accepts all requests, and asks callers to send the next ones elsewhere.
     Leaving = 1,
-    /// Takes only what belongs to work in flight.
+    /// Accepts only requests that belong to work in flight.
     Refusing = 2,
 }
 
-/// The stage of one listener, read by each of its requests.
+/// Shutdown stage of one listener, read by each of its requests.
 #[derive(Debug, Default)]
-struct DrainSwitch {
+struct DrainState {
     stage: AtomicU8,
     /// When requests were first refused.
     refused_at: OnceLock<Instant>,
 }
 
-impl DrainSwitch {
-    fn set(&self, stage: DrainStage) {
+impl DrainState {
+    /// Enters a stage; a later one already reached stays.
+    fn enter(&self, stage: DrainStage) {
         self.stage.fetch_max(stage as u8, Ordering::AcqRel);
     }
 
+    /// Enters the refusing stage and returns when it was first entered.
     fn refuse_new(&self) -> Instant {
-        self.set(DrainStage::Refusing);
+        self.enter(DrainStage::Refusing);
         *self.refused_at.get_or_init(Instant::now)
     }
 
@@ -101,40 +104,40 @@
     }
 }
 
-/// The other end of a connection.
+/// The peer of an accepted connection.
 #[derive(Clone, Copy, Debug)]
 struct AcceptedPeer {
     address: IpAddr,
-    /// When it was accepted, on the clock that trips are measured by.
+    /// When the connection was accepted, on the clock of [`transit_now`].
     accepted_at: Duration,
 }
 
 /// A running listener.
 pub struct ServeHandle {
-    switch: Arc<DrainSwitch>,
+    drain_state: Arc<DrainState>,
     stop: watch::Sender<bool>,
     task: JoinHandle<()>,
 }
 
 impl ServeHandle {
-    /// Goes on taking requests but asks callers to send the next ones elsewhere: answers over
-    /// HTTP/1.1 say `Connection: close`. Without this step a caller's next request could meet the
-    /// end of its connection.
+    /// Continues to accept requests but asks callers to send the next ones elsewhere: answers over
+    /// HTTP/1.1 have `Connection: close`. Without this step a caller's next request could meet the
+    /// close of its connection.
     pub fn leave(&self) {
-        self.switch.set(DrainStage::Leaving);
+        self.drain_state.enter(DrainStage::Leaving);
     }
 
-    /// Refuses new requests as not run. Those that services make for work in flight are still
-    /// taken, or the work could not be finished.
+    /// Refuses new requests as not run. Requests that services make for work in flight are still
+    /// accepted, because that work could not be finished otherwise.
     pub fn refuse_new(&self) {
-        self.switch.refuse_new();
+        self.drain_state.refuse_new();
     }
 
-    /// Accepts no more, waits up to `bound` for requests in flight, and tells whether all ended.
+    /// Stops accepting, waits up to `bound` for requests in flight, and returns whether all ended.
     pub async fn stop(self, bound: Duration) -> bool {
-        let refused_at = self.switch.refuse_new();
+        let refused_at = self.drain_state.refuse_new();
         let stop = async {
-            tokio::time::sleep_until(refused_at + REFUSE_TIME).await;
+            tokio::time::sleep_until(refused_at + MIN_REFUSAL_TIME).await;
             self.stop.send_replace(true);
             self.task.await
         };
@@ -142,7 +145,7 @@
     }
 }
 
-/// Serves callers.
+/// Serves callers on a listener.
 pub fn serve_forward(listener: TcpListener, context: Arc<ForwardContext>) -> ServeHandle {
     let server = build_server(ENTRY_HEAD_BYTES, ENTRY_STREAMS, ENTRY_RESETS);
     let table = context.table.clone();
@@ -152,11 +155,12 @@
     })
 }
 
-/// Serves other daemons on behalf of the local backend server.
+/// Serves other daemons on a listener, on behalf of the local backend server.
 pub fn serve_guard(listener: TcpListener, context: Arc<GuardContext>) -> ServeHandle {
     let mut server = build_server(GUARD_HEAD_BYTES, GUARD_STREAMS, GUARD_RESETS).http2_only();
-    // Counted over the life of a connection: bodies that cross with an early refusal count, so that
-    // a connection between two daemons would break every thousand refusals.
+    // The library counts these over the life of a connection. Bodies that cross with an early
+    // refusal count too, so a connection between two daemons would break after every thousand
+    // refusals.
     server
         .http2()
         .max_local_error_reset_streams(None)
@@ -166,19 +170,20 @@
         listener,
         server,
         || HEAD_TIMEOUT,
-        move |request, peer| guard(context.clone(), request, peer.accepted_at),
+        move |request, peer| handle_peer_request(context.clone(), request, peer.accepted_at),
     )
 }
 
-/// Gives how long a caller's connection may be without a whole head. The library's timer runs from
-/// the end of the answer before, so it has to hold both limits: closed sooner, a connection that its
-/// caller has a right to would meet the next request with its end.
+/// Returns how long a caller's connection may go without a whole head. The library's timer starts
+/// at the end of the previous answer, so it has to cover both limits. A connection closed sooner,
+/// although its caller may still use it, would fail the next request.
 fn idle_limit(limits: &LimitSetting) -> Duration {
     Duration::from_millis(limits.idle_timeout_ms.saturating_add(limits.head_timeout_ms))
 }
 
 type ServerBuilder = auto::Builder<TokioExecutor>;
 
+/// Creates the HTTP server settings of a listener.
 fn build_server(head_bytes: u32, streams: u32, resets: usize) -> ServerBuilder {
     let mut server = auto::Builder::new(TokioExecutor::new());
     server
@@ -197,6 +202,8 @@
     server
 }
 
+/// Accepts connections in a task and passes their requests to `handle`. `idle` returns the current
+/// limit of [`idle_limit`].
 fn serve<L, H, F>(listener: TcpListener, server: ServerBuilder, idle: L, handle: H) -> ServeHandle
 where
     L: Fn() -> Duration + Send + 'static,
@@ -204,16 +211,23 @@
     F: Future<Output = Response<ProxyBody>> + Send + 'static,
 {
     let stop = watch::Sender::new(false);
-    let switch = Arc::new(DrainSwitch::default());
-    let accept = accept_forever(listener, (server, idle), handle, switch.clone(), stop.subscribe());
-    ServeHandle { switch, stop, task: tokio::spawn(accept) }
+    let drain_state = Arc::new(DrainState::default());
+    let accept = accept_until_stopped(
+        listener,
+        (server, idle),
+        handle,
+        drain_state.clone(),
+        stop.subscribe(),
+    );
+    ServeHandle { drain_state, stop, task: tokio::spawn(accept) }
 }
 
-async fn accept_forever<L, H, F>(
+/// Accepts connections until stopped, then waits for the requests in flight.
+async fn accept_until_stopped<L, H, F>(
     listener: TcpListener,
     (mut server, idle): (ServerBuilder, L),
     handle: H,
-    switch: Arc<DrainSwitch>,
+    drain_state: Arc<DrainState>,
     mut stopped: watch::Receiver<bool>,
 ) where
     L: Fn() -> Duration + Send + 'static,
@@ -228,10 +242,10 @@
         };
         let (stream, peer) = match accepted {
             Ok((stream, address)) => {
-                (stream, AcceptedPeer { address: address.ip(), accepted_at: trip_now() })
+                (stream, AcceptedPeer { address: address.ip(), accepted_at: transit_now() })
             }
             Err(err) => {
-                log::warn!("proxy: cannot accept: {err}.");
+                log::warn!("proxy: cannot accept a connection: {err}.");
                 tokio::time::sleep(ACCEPT_RETRY).await;
                 continue;
             }
@@ -239,12 +253,12 @@
         // Small answers must not wait for the peer's delayed acknowledgement.
         let _ = stream.set_nodelay(true);
         watch_accepted(&stream);
-        let (handle, switch) = (handle.clone(), switch.clone());
+        let (handle, drain_state) = (handle.clone(), drain_state.clone());
         let service = service_fn(move |request| {
-            let answer = answer(&handle, &switch, request, peer);
+            let answer = answer_or_refuse(&handle, &drain_state, request, peer);
             async move { Ok::<_, Infallible>(answer.await) }
         });
-        // Limits may have changed since the connection before.
+        // Limits may have changed since the previous connection.
         server.http1().header_read_timeout(idle());
         let connection = server.serve_connection(TokioIo::new(stream), service).into_owned();
         let connection = graceful.watch(connection);
@@ -258,9 +272,10 @@
     graceful.shutdown().await;
 }
 
-fn answer<H, F>(
+/// Handles one request, or refuses it if the listener is shutting down.
+fn answer_or_refuse<H, F>(
     handle: &H,
-    switch: &Arc<DrainSwitch>,
+    drain_state: &Arc<DrainState>,
     request: Request<Incoming>,
     peer: AcceptedPeer,
 ) -> impl Future<Output = Response<ProxyBody>> + Send + use<H, F>
@@ -269,16 +284,17 @@
     F: Future<Output = Response<ProxyBody>> + Send + 'static,
 {
     let is_http1 = request.version() == Version::HTTP_11;
-    let is_refused = switch.has_reached(DrainStage::Refusing) && !is_nested(request.headers());
-    // Boxed, as the library keeps room for a whole future in each connection, also an idle one.
+    let is_refused = drain_state.has_reached(DrainStage::Refusing) && !is_nested(request.headers());
+    // Boxed, because the library reserves room for a whole future in each connection, also an idle
+    // one.
     let answer = (!is_refused).then(|| Box::pin(handle(request, peer)));
-    let switch = switch.clone();
+    let drain_state = drain_state.clone();
     async move {
         let mut response = match answer {
             Some(answer) => answer.await,
-            None => refuse_until(RefusalKind::Draining, Duration::ZERO),
+            None => refuse_with_delay(RefusalKind::Draining, Duration::ZERO),
         };
-        if is_http1 && switch.has_reached(DrainStage::Leaving) {
+        if is_http1 && drain_state.has_reached(DrainStage::Leaving) {
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         response
--- a/components/proxy/src/table.rs
+++ b/components/proxy/src/table.rs
@@ -30,7 +30,7 @@
 
 /// Time after the start of this daemon in which servers it hears of count as warm. Most of them
 /// have run for long; taking all for cold would send each the same trickle.
-const FIRST_NEWS: Duration = Duration::from_secs(10);
+const STARTUP_WINDOW: Duration = Duration::from_secs(10);
 /// Age of such a server, above any warm-up.
 const WARM_AGE: Duration = Duration::from_secs(3600);
 
@@ -91,7 +91,7 @@
     /// The part of them that may follow a server's failure.
     pub(crate) failure_budget: Arc<RetryBudget>,
     /// Whether the budget was empty when last asked, so that the log tells of each change once.
-    is_spent: Arc<AtomicBool>,
+    is_budget_empty: Arc<AtomicBool>,
 }
 
 /// A service that takes a part of a route's requests, by weight.
@@ -103,10 +103,10 @@
     team: TeamKey,
     parts: Vec<RoutePart>,
     /// Requests divided so far, from a random start.
-    turn: Arc<AtomicU64>,
+    counter: Arc<AtomicU64>,
 }
 
-/// Routes by host, each list with the longest prefix first.
+/// Routes by host, each list with the longest_match prefix first.
 #[derive(Clone, Debug, Default)]
 struct RouteMap {
     /// Those that name a host, in lower case.
@@ -159,14 +159,14 @@
         let members: Vec<&MemberRecord> = members.collect();
         let fleet = members.iter().filter(|record| record.is_present()).count();
         let mut found = find_endpoints(members.into_iter());
-        let mut build = |name: &str, held: Option<&TableService>| {
+        let mut build = |name: &str, previous: Option<&TableService>| {
             let endpoints = found.remove(name).unwrap_or_default();
-            let service = build_service(held, name, &endpoints, place, now);
+            let service = build_service(previous, name, &endpoints, place, now);
             service.budget.set_fleet(fleet);
             service.failure_budget.set_fleet(fleet);
             service
         };
-        if before.is_of(snapshot) {
+        if before.is_built_from(snapshot) {
             let mut next = before.clone();
             for service in next.services.values_mut() {
                 *service = build(&service.name, Some(service));
@@ -177,8 +177,8 @@
         let mut keys = BTreeMap::new();
         for (path, body) in snapshot.settings() {
             if matches!(body, SettingBody::Service(_)) {
-                let held = before.services.values().find(|service| *service.name == **path);
-                keys.insert(path, services.insert(build(path, held)));
+                let previous = before.services.values().find(|service| *service.name == **path);
+                keys.insert(path, services.insert(build(path, previous)));
             }
         }
         let routes = Arc::new(collect_routes(snapshot, &keys));
@@ -191,20 +191,21 @@
         Self { version: snapshot.version(), trees, services, routes, limits }
     }
 
-    /// Tells whether the table was built from this very configuration.
-    fn is_of(&self, snapshot: &ConfigSnapshot) -> bool {
-        let is_same = |(held, given): (&Arc<TeamTree>, &Arc<TeamTree>)| Arc::ptr_eq(held, given);
+    /// Returns whether the table was built from this very configuration.
+    fn is_built_from(&self, snapshot: &ConfigSnapshot) -> bool {
+        let is_same =
+            |(previous, given): (&Arc<TeamTree>, &Arc<TeamTree>)| Arc::ptr_eq(previous, given);
         self.version == snapshot.version()
             && self.trees.len() == snapshot.trees.len()
             && self.trees.values().zip(snapshot.trees.values()).all(is_same)
     }
 
-    /// Gives the version of the configuration the table was built from.
+    /// Returns the version of the configuration the table was built from.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// Gives the bounds on callers, where the configuration sets any.
+    /// Returns the bounds on callers, where the configuration sets any.
     pub fn limits(&self) -> Option<&LimitSetting> {
         self.limits.as_ref()
     }
@@ -214,13 +215,13 @@
         self.services.values()
     }
 
-    /// Finds the route of a request: the longest prefix, a named host before any host.
+    /// Finds the route of a request: the longest_match prefix, a named host before any host.
     pub fn find(&self, host: Option<&str>, path: &str) -> Option<RouteMatch<'_>> {
         let host = host.map(str::to_ascii_lowercase);
         let bare = host.as_deref().and_then(|host| host.rsplit_once(':')).map(|(name, _)| name);
-        let of_host = |host: Option<&str>| longest(self.routes.named.get(host?)?, path);
+        let of_host = |host: Option<&str>| longest_match(self.routes.named.get(host?)?, path);
         let named = of_host(host.as_deref()).or_else(|| of_host(bare));
-        let any = longest(&self.routes.any, path);
+        let any = longest_match(&self.routes.any, path);
         // On equal prefixes the route that names the host holds.
         let route = match (named, any) {
             (Some(named), Some(any)) if any.setting.prefix.len() > named.setting.prefix.len() => {
@@ -228,25 +229,25 @@
             }
             (named, any) => named.or(any)?,
         };
-        let service = self.services.get(route.divide()?)?;
+        let service = self.services.get(route.pick_service()?)?;
         Some(RouteMatch { setting: &route.setting, team: route.team, service })
     }
 }
 
 impl TableRoute {
-    /// Gives the service whose turn it is, in the proportion of the weights.
+    /// Returns the service whose counter it is, in the proportion of the weights.
     ///
     /// Multiples of the golden ratio fall evenly on any interval, so a part has its share of every
     /// few dozen requests already, where independent draws would be off by a tenth and more.
-    fn divide(&self) -> Option<ServiceKey> {
+    fn pick_service(&self) -> Option<ServiceKey> {
         const GOLDEN: u64 = 0x9e37_79b9_7f4a_7c15;
         if let [(service, _)] = self.parts[..] {
             return Some(service);
         }
         let total: u64 = self.parts.iter().map(|(_, weight)| u64::from(*weight)).sum();
-        let turn = self.turn.fetch_add(1, Ordering::Relaxed).wrapping_mul(GOLDEN);
+        let counter = self.counter.fetch_add(1, Ordering::Relaxed).wrapping_mul(GOLDEN);
         // The upper half of a product of two 64-bit numbers: a point below the total.
-        let mut point = ((u128::from(turn) * u128::from(total)) >> 64) as u64;
+        let mut point = ((u128::from(counter) * u128::from(total)) >> 64) as u64;
         for (service, weight) in &self.parts {
             match point.checked_sub(u64::from(*weight)) {
                 Some(rest) => point = rest,
@@ -258,21 +259,21 @@
 }
 
 impl TableService {
-    /// Notes whether the retry budget was found empty.
-    pub(crate) fn note_budget(&self, is_spent: bool) {
-        match self.is_spent.swap(is_spent, Ordering::Relaxed) {
-            was if was == is_spent => {}
+    /// Records whether the retry budget was found empty.
+    pub(crate) fn record_budget_state(&self, is_budget_empty: bool) {
+        match self.is_budget_empty.swap(is_budget_empty, Ordering::Relaxed) {
+            was if was == is_budget_empty => {}
             false => log::warn!("proxy: the retry budget of {} is empty.", self.name),
             true => log::info!("proxy: the retry budget of {} is paid in again.", self.name),
         }
     }
 
-    /// Gives the whole retries that the service may still be sent.
+    /// Returns the whole retries that the service may still be sent.
     pub fn retries_left(&self) -> u64 {
         self.budget.left()
     }
 
-    /// Gives the state of each endpoint, by its daemon.
+    /// Returns the state of each endpoint, by its daemon.
     pub fn endpoint_states(
         &self,
         now: Duration,
@@ -313,7 +314,7 @@
 }
 
 fn build_service(
-    held: Option<&TableService>,
+    previous: Option<&TableService>,
     name: &str,
     found: &[(&MemberRecord, &EndpointRecord)],
     place: &TablePlace,
@@ -325,27 +326,28 @@
         .collect();
     let records: Vec<PlacedRecord> =
         found.iter().map(|(member, endpoint)| place_record(member, endpoint, place, now)).collect();
-    let placement = match held {
-        Some(held) => held.placement.rebuild(&records, now),
+    let placement = match previous {
+        Some(previous) => previous.placement.rebuild(&records, now),
         None => PlacementTable::new(place.tuning.placement).rebuild(&records, now),
     };
     let retry = place.tuning.retry;
-    let (budget, failure_budget) = match held {
-        Some(held) => (held.budget.clone(), held.failure_budget.clone()),
+    let (budget, failure_budget) = match previous {
+        Some(previous) => (previous.budget.clone(), previous.failure_budget.clone()),
         None => (
             Arc::new(RetryBudget::new(retry, now)),
             Arc::new(RetryBudget::new(retry.after_failures(), now)),
         ),
     };
-    let name = held.map_or_else(|| Arc::from(name), |held| held.name.clone());
-    let is_spent = held.map(|held| held.is_spent.clone()).unwrap_or_default();
+    let name = previous.map_or_else(|| Arc::from(name), |previous| previous.name.clone());
+    let is_budget_empty =
+        previous.map(|previous| previous.is_budget_empty.clone()).unwrap_or_default();
     TableService {
         name,
         endpoints,
         placement: Arc::new(placement),
         budget,
         failure_budget,
-        is_spent,
+        is_budget_empty,
     }
 }
 
@@ -382,7 +384,7 @@
         incarnation: stable_hash(&[endpoint.server.as_bytes(), &daemon]),
         slots: endpoint.slots,
         distance,
-        age: if now < FIRST_NEWS { WARM_AGE } else { Duration::ZERO },
+        age: if now < STARTUP_WINDOW { WARM_AGE } else { Duration::ZERO },
     }
 }
 
@@ -408,7 +410,7 @@
             setting: setting.clone(),
             team: stable_hash(&[team_of(path).as_bytes()]),
             parts,
-            turn: Arc::new(AtomicU64::new(rand::random())),
+            counter: Arc::new(AtomicU64::new(rand::random())),
         };
         match &setting.host {
             Some(host) => routes.named.entry(host.to_ascii_lowercase()).or_default().push(route),
@@ -421,7 +423,7 @@
     routes
 }
 
-/// Gives bounds that keep both of two.
+/// Returns bounds that keep both of two.
 fn strictest(one: LimitSetting, other: LimitSetting) -> LimitSetting {
     LimitSetting {
         max_head_bytes: one.max_head_bytes.min(other.max_head_bytes),
@@ -431,8 +433,8 @@
     }
 }
 
-/// Gives the route with the longest prefix that covers a path.
-fn longest<'a>(routes: &'a [TableRoute], path: &str) -> Option<&'a TableRoute> {
+/// Returns the route with the longest_match prefix that covers a path.
+fn longest_match<'a>(routes: &'a [TableRoute], path: &str) -> Option<&'a TableRoute> {
     routes.iter().find(|route| is_prefix(&route.setting.prefix, path))
 }
 
--- a/components/proxy/src/times.rs
+++ b/components/proxy/src/times.rs
@@ -4,7 +4,7 @@
 
 use prometheus::{HistogramOpts, HistogramVec, Registry};
 
-/// Upper bounds of the buckets in seconds: from a cache's answer to a route's longest timeout, each
+/// Upper bounds of the buckets in seconds: from a cache's answer to a route's longest_match timeout, each
 /// about twice the one before.
 const BUCKETS: [f64; 14] =
     [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.6, 0.8, 1.5, 3.0, 6.0];
@@ -59,7 +59,7 @@
         self.seconds.with_label_values(&labels).observe(took.as_secs_f64());
     }
 
-    /// Gives the histograms for a scrape.
+    /// Returns the histograms for a scrape.
     pub fn gather(&self) -> Vec<prometheus::proto::MetricFamily> {
         self.registry.gather()
     }
--- a/components/proxy/src/watched.rs
+++ b/components/proxy/src/tracked_body.rs
@@ -13,65 +13,65 @@
 use crate::body::BodyError;
 
 /// What is held until the end of a body. Dropped without a word when whoever reads it leaves.
-pub(crate) trait BodyHold {
-    /// Ends the hold of a body that was read whole.
-    fn end_whole(self);
+pub(crate) trait BodyEndHandler {
+    /// Ends the handler of a body that was read whole.
+    fn on_complete(self);
 
-    /// Ends the hold of a body that broke off.
-    fn end_cut(self, err: &BodyError);
+    /// Ends the handler of a body that broke off.
+    fn on_failure(self, err: &BodyError);
 }
 
 /// A body that keeps something held until its end or its deadline.
-pub(crate) struct WatchedBody<B, H> {
+pub(crate) struct TrackedBody<B, H> {
     inner: B,
     deadline: Option<Pin<Box<Sleep>>>,
-    hold: Option<H>,
+    handler: Option<H>,
 }
 
-impl<B, H> WatchedBody<B, H>
+impl<B, H> TrackedBody<B, H>
 where
     B: Body<Data = Bytes> + Unpin,
-    H: BodyHold,
+    H: BodyEndHandler,
 {
     /// Wraps a body, which must end by the deadline where there is one.
-    pub(crate) fn new(inner: B, hold: H, deadline: Option<Instant>) -> Self {
+    pub(crate) fn new(inner: B, handler: H, deadline: Option<Instant>) -> Self {
         let deadline = deadline.map(|deadline| Box::pin(sleep_until(deadline)));
-        let mut body = Self { inner, deadline, hold: Some(hold) };
+        let mut body = Self { inner, deadline, handler: Some(handler) };
         // An empty body is never read.
-        body.end_if_whole();
+        body.finish_if_ended();
         body
     }
 
-    fn end_if_whole(&mut self) {
+    fn finish_if_ended(&mut self) {
         if self.inner.is_end_stream() {
-            self.end_whole();
+            self.on_complete();
         }
     }
 
-    fn end_whole(&mut self) {
-        if let Some(hold) = self.hold.take() {
-            hold.end_whole();
+    fn on_complete(&mut self) {
+        if let Some(handler) = self.handler.take() {
+            handler.on_complete();
         }
     }
 
-    fn end_cut(&mut self, err: BodyError) -> BodyError {
-        if let Some(hold) = self.hold.take() {
-            hold.end_cut(&err);
+    fn on_failure(&mut self, err: BodyError) -> BodyError {
+        if let Some(handler) = self.handler.take() {
+            handler.on_failure(&err);
         }
         err
     }
 
     fn is_late(&mut self, context: &mut Context<'_>) -> bool {
-        let deadline = self.deadline.as_mut().filter(|_| self.hold.is_some());
+        let deadline = self.deadline.as_mut().filter(|_| self.handler.is_some());
         deadline.is_some_and(|deadline| deadline.as_mut().poll(context).is_ready())
     }
 }
 
-impl<B, H> Body for WatchedBody<B, H>
+impl<B, H> Body for TrackedBody<B, H>
 where
     B: Body<Data = Bytes> + Unpin,
     B::Error: Into<BodyError>,
-    H: BodyHold + Unpin,
+    H: BodyEndHandler + Unpin,
 {
     type Data = Bytes;
     type Error = BodyError;
@@ -81,19 +81,19 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         if self.is_late(context) {
-            let err = self.end_cut(BodyError::DeadlinePassed);
+            let err = self.on_failure(BodyError::DeadlinePassed);
             return Poll::Ready(Some(Err(err)));
         }
         let frame = ready!(Pin::new(&mut self.inner).poll_frame(context));
         Poll::Ready(match frame {
             Some(Ok(frame)) => {
                 // A body of a known length is not read beyond its last byte.
-                self.end_if_whole();
+                self.finish_if_ended();
                 Some(Ok(frame))
             }
-            Some(Err(err)) => Some(Err(self.end_cut(err.into()))),
+            Some(Err(err)) => Some(Err(self.on_failure(err.into()))),
             None => {
-                self.end_whole();
+                self.on_complete();
                 None
             }
         })
--- a/components/proxy/src/transfers.rs
+++ b/components/proxy/src/transfers.rs
@@ -21,41 +21,41 @@
 /// Size from which a body takes turns: several of the packets' worth that a short answer is.
 const LARGE_BYTES: u64 = 32 * 1024;
 
-/// Tells whether a body takes turns. One of unknown length may be large.
+/// Returns whether a body takes turns. One of unknown length may be large.
 pub(crate) fn is_large(body: &impl Body) -> bool {
     body.size_hint().upper().is_none_or(|size| size >= LARGE_BYTES)
 }
 
 #[derive(Default)]
-struct LineState {
+struct SchedulerState {
     queue: TransferQueue,
     wakers: SecondaryMap<TransferId, Waker>,
 }
 
 /// The large bodies that go one way between the link and one server.
 #[derive(Default)]
-pub(crate) struct TransferLine {
-    state: Mutex<LineState>,
+pub(crate) struct TransferScheduler {
+    state: Mutex<SchedulerState>,
     /// Is told how many answers wait, since more of them would only wait longer.
     gate: Option<Arc<AdmissionGate>>,
 }
 
-impl TransferLine {
-    /// Makes the line of the answers to what a gate admits.
-    pub(crate) fn of_answers(gate: Arc<AdmissionGate>) -> Self {
+impl TransferScheduler {
+    /// Creates the scheduler of the answers to what a gate admits.
+    pub(crate) fn for_answers(gate: Arc<AdmissionGate>) -> Self {
         Self { gate: Some(gate), ..Self::default() }
     }
 
-    /// Gives what the link carries before a body that comes now.
+    /// Returns what the link carries before a body that comes now.
     pub(crate) fn ahead(&self) -> LinkAhead {
         self.lock().queue.ahead(process_now())
     }
 
-    fn lock(&self) -> MutexGuard<'_, LineState> {
+    fn lock(&self) -> MutexGuard<'_, SchedulerState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn ask(&self, id: TransferId, waker: &Waker) -> TransferTurn {
+    fn request_turn(&self, id: TransferId, waker: &Waker) -> TransferTurn {
         self.change(|state| {
             let turn = state.queue.ask(id, process_now());
             match turn {
@@ -76,8 +76,8 @@
         });
     }
 
-    /// Changes the line, wakes whoever has a turn now, and tells the gate.
-    fn change<T>(&self, change: impl FnOnce(&mut LineState) -> T) -> T {
+    /// Changes the scheduler, wakes whoever has a turn now, and tells the gate.
+    fn change<T>(&self, change: impl FnOnce(&mut SchedulerState) -> T) -> T {
         let mut state = self.lock();
         let before = state.queue.held_back();
         let changed = change(&mut state);
@@ -90,65 +90,70 @@
         if let Some(gate) = &self.gate
             && held_back != before
         {
-            gate.note_held_back(held_back);
+            gate.set_waiting_answers(held_back);
         }
         changed
     }
 }
 
-/// The place of one body in the line, given back when dropped.
-struct LinePlace {
-    line: Arc<TransferLine>,
+/// The transfer of one body in the scheduler, given back when dropped.
+struct ScheduledTransfer {
+    scheduler: Arc<TransferScheduler>,
     id: TransferId,
     /// Ends a wait when the turn of a body that stands still lapses.
-    lapse: Option<Pin<Box<Sleep>>>,
+    wait_timer: Option<Pin<Box<Sleep>>>,
     is_whole: bool,
 }
 
-impl Drop for LinePlace {
+impl Drop for ScheduledTransfer {
     fn drop(&mut self) {
-        self.line.end(self.id, self.is_whole);
+        self.scheduler.end(self.id, self.is_whole);
     }
 }
 
 /// A body that waits for its turn where it is large.
-pub(crate) struct TurnBody<B> {
+pub(crate) struct ScheduledBody<B> {
     inner: B,
-    place: Option<LinePlace>,
+    transfer: Option<ScheduledTransfer>,
 }
 
-impl<B: Body> TurnBody<B> {
+impl<B: Body> ScheduledBody<B> {
     /// Wraps the body of an answer or upload.
-    pub(crate) fn new(inner: B, line: &Arc<TransferLine>) -> Self {
-        let place = is_large(&inner).then(|| {
-            let id = line.lock().queue.begin();
-            LinePlace { line: line.clone(), id, lapse: None, is_whole: false }
+    pub(crate) fn new(inner: B, scheduler: &Arc<TransferScheduler>) -> Self {
+        let transfer = is_large(&inner).then(|| {
+            let id = scheduler.lock().queue.begin();
+            ScheduledTransfer {
+                scheduler: scheduler.clone(),
+                id,
+                wait_timer: None,
+                is_whole: false,
+            }
         });
-        Self { inner, place }
+        Self { inner, transfer }
     }
 }
 
-impl LinePlace {
-    fn poll_turn(&mut self, context: &mut Context<'_>) -> Poll<()> {
+impl ScheduledTransfer {
+    fn poll_permission(&mut self, context: &mut Context<'_>) -> Poll<()> {
         loop {
-            match self.line.ask(self.id, context.waker()) {
+            match self.scheduler.request_turn(self.id, context.waker()) {
                 TransferTurn::Go => {
-                    self.lapse = None;
+                    self.wait_timer = None;
                     return Poll::Ready(());
                 }
                 TransferTurn::Wait(wait) => {
-                    let lapse = self.lapse.get_or_insert_with(|| Box::pin(sleep(wait)));
-                    if lapse.as_mut().poll(context).is_pending() {
+                    let wait_timer = self.wait_timer.get_or_insert_with(|| Box::pin(sleep(wait)));
+                    if wait_timer.as_mut().poll(context).is_pending() {
                         return Poll::Pending;
                     }
-                    self.lapse = None;
+                    self.wait_timer = None;
                 }
             }
         }
     }
 }
 
-impl<B: Body<Data = Bytes> + Unpin> Body for TurnBody<B> {
+impl<B: Body<Data = Bytes> + Unpin> Body for ScheduledBody<B> {
     type Data = Bytes;
     type Error = B::Error;
 
@@ -156,17 +161,17 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, B::Error>>> {
-        if let Some(place) = &mut self.place
-            && place.poll_turn(context).is_pending()
+        if let Some(transfer) = &mut self.transfer
+            && transfer.poll_permission(context).is_pending()
         {
             return Poll::Pending;
         }
         let frame = Pin::new(&mut self.inner).poll_frame(context);
         let is_cut = matches!(frame, Poll::Ready(Some(Err(_))));
         if (is_cut || matches!(frame, Poll::Ready(None)) || self.inner.is_end_stream())
-            && let Some(mut place) = self.place.take()
+            && let Some(mut transfer) = self.transfer.take()
         {
-            place.is_whole = !is_cut;
+            transfer.is_whole = !is_cut;
         }
         frame
     }
--- a/components/proxy/src/upload.rs
+++ b/components/proxy/src/upload.rs
@@ -21,7 +21,7 @@
 const REPLAY_BYTES: usize = 64 * 1024;
 
 /// Longest time for which a refused body is read, so that its sender learns of the refusal.
-const DISCARD_WAIT: Duration = Duration::from_secs(1);
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The body of a request, by whether it is at hand.
 pub(crate) enum UploadBody {
@@ -69,7 +69,7 @@
         (parts, read.unwrap_or(Err(UploadError::Lost)))
     }
 
-    /// Gives the body for an attempt, or nothing if it was sent and cannot be again.
+    /// Returns the body for an attempt, or nothing if it was sent and cannot be again.
     pub(crate) fn take(&mut self) -> Option<ProxyBody> {
         match self {
             Self::Whole(bytes) => Some(whole_body(bytes.clone())),
@@ -77,19 +77,19 @@
         }
     }
 
-    /// Gives the bytes that a fingerprint is made over.
+    /// Returns the bytes that a fingerprint is made over.
     pub(crate) fn sample(&self) -> &[u8] {
         match self {
             Self::Whole(bytes) | Self::Stream { prefix: bytes, .. } => bytes,
         }
     }
 
-    /// Tells whether a body that is being sent has passed the allowed size.
+    /// Returns whether a body that is being sent has passed the allowed size.
     pub(crate) fn has_overrun(&self) -> bool {
         matches!(self, Self::Stream { overrun, .. } if overrun.load(Ordering::Acquire))
     }
 
-    /// Tells whether the body can be sent again.
+    /// Returns whether the body can be sent again.
     pub(crate) fn is_whole(&self) -> bool {
         matches!(self, Self::Whole(_))
     }
@@ -118,7 +118,7 @@
             }
         }
     };
-    if tokio::time::timeout(DISCARD_WAIT, read).await.is_err() {
+    if tokio::time::timeout(DISCARD_TIMEOUT, read).await.is_err() {
         log::debug!("proxy: a refused body took too long to read.");
     }
 }
--- a/components/proxy/src/words.rs
+++ b/components/proxy/src/words.rs
@@ -1,4 +1,6 @@
-//! The border to the headers that callers and backend servers speak.
+//! Translation of the headers that callers and backend servers use. The request path itself only
+//! knows the types here, so a platform's header names stay in one implementation of
+//! [`RequestWords`].
 
 use std::{fmt::Debug, time::Duration};
 
@@ -10,55 +12,55 @@
     headers::{read_number, write_context},
 };
 
-/// What a backend server is told about a request, beside the caller's own headers.
+/// What a backend server receives about a request, beside the caller's own headers.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestNote<'a> {
-    /// Time left and what nested calls carry.
+    /// Remaining time, and the context that nested calls carry on.
     pub context: CallContext,
-    /// Name of the server that is meant; another one must not run the request.
+    /// Name of the intended server; another server must not run the request.
     pub server: &'a str,
-    /// Service beside the daemon at which the request entered, where it is known.
+    /// Service beside the entry daemon, where it is known.
     pub from: Option<&'a str>,
 }
 
-/// What the head of a server's answer is.
+/// How the head of a server's answer is classified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerVerdict {
     /// The answer to the request that was sent.
     Sound,
-    /// The server turned the request away: it did not run there and will not.
+    /// The server rejected the request: it did not run there and will not.
     NotExecuted,
     /// The answer to another request. Answers on this connection no longer match their requests.
     Foreign,
-    /// An answer that cannot be the server's whole work. The request may have run.
+    /// An answer that cannot be the server's complete result. The request may have run.
     Unproven,
 }
 
-/// What a backend server says of itself when it is asked how it is.
+/// Identity that a backend server reports in the answer to a health request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerIdentity {
-    /// How it calls itself.
+    /// Name that the server reports.
     pub name: String,
-    /// Requests it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
 }
 
 /// The headers of one platform. An implementation translates and decides nothing.
 pub trait RequestWords: Debug + Send + Sync {
-    /// Gives the id of the caller's attempt, as servers repeat it in their answers.
+    /// Returns the id of the caller's attempt, which servers repeat in their answers.
     fn attempt<'a>(&self, headers: &'a HeaderMap) -> Option<&'a HeaderValue>;
 
-    /// Gives the id of the request that a server makes a call for, where the call's id tells. For the
-    /// log only.
+    /// Returns the id of the request for which a server makes this call, if the call's id contains
+    /// it. Used only in logs.
     fn parent<'a>(&self, attempt: &'a HeaderValue) -> Option<&'a str>;
 
-    /// Gives how long the caller will wait, where it tells.
+    /// Returns how long the caller will wait, if the request states it.
     fn remaining(&self, headers: &HeaderMap) -> Option<Duration>;
 
-    /// Writes what the server is told, in place of whatever the caller sent under these names.
+    /// Writes the headers for the server, replacing whatever the caller sent under these names.
     fn write_request(&self, headers: &mut HeaderMap, note: &RequestNote<'_>);
 
-    /// Reads the head of a server's answer to an attempt.
+    /// Classifies the head of a server's answer to an attempt.
     fn read_answer(
         &self,
         status: StatusCode,
@@ -66,11 +68,11 @@
         attempt: Option<&HeaderValue>,
     ) -> AnswerVerdict;
 
-    /// Reads who a server is from its answer about its health; none where it is not well, is leaving or
-    /// does not tell.
+    /// Reads a server's identity from its answer to a health request; `None` if it is unhealthy,
+    /// is leaving or states no identity.
     fn read_identity(&self, status: StatusCode, headers: &HeaderMap) -> Option<ServerIdentity>;
 
-    /// Brings an answer into the caller's words; one of the daemon's own bears a
+    /// Translates an answer to the caller's headers; an answer made by the daemon itself has a
     /// [`RefusalKind`](crate::RefusalKind) in its headers.
     fn write_answer(&self, response: &mut Response<ProxyBody>);
 }
