--- a/components/proxy/src/abandoned.rs
+++ b/components/proxy/src/abandoned.rs
@@ -1,4 +1,4 @@
-//! The line that a guard writes of a request whose caller left.
+//! The log line of a request that is abandoned at its guard because its caller left.
 
 use std::time::Duration;
 
@@ -7,14 +7,14 @@
 
 use crate::{exchange::SendStage, headers::header_text};
 
-/// Writes where a request stood when its daemon of entry dropped it, unless it ended before.
+/// Logs how far a request had come when its entry daemon dropped it, unless it ended before.
 ///
-/// Beside the line of the daemon of entry it shows how long word of a departure takes over a link,
-/// and whether a server was sent a request for nobody.
+/// Together with the line of the entry daemon it shows how long the news of a caller's departure
+/// takes over a link, and whether a request without a caller was sent to a server.
 pub(crate) struct AbandonLog {
     attempt: Option<HeaderValue>,
     arrived: Instant,
-    /// How much longer than the fastest one the request was on its way.
+    /// How much longer the request was in transit than the fastest one.
     transit_delay: Duration,
     pub(crate) stage: SendStage,
     is_disarmed: bool,
@@ -29,7 +29,8 @@
         Self { attempt, arrived, transit_delay, stage: SendStage::Waiting, is_disarmed: false }
     }
 
-    /// Records that the request has ended here, and gives its id.
+    /// Prevents the line, because the request has ended here, and returns the caller's id of the
+    /// attempt.
     pub(crate) fn disarm(mut self) -> Option<HeaderValue> {
         self.is_disarmed = true;
         self.attempt.take()
--- a/components/proxy/src/body.rs
+++ b/components/proxy/src/body.rs
@@ -10,17 +10,17 @@
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use thiserror::Error;
 
-/// Body of a request or answer: streamed from a peer, or made here.
+/// Body of a request or answer, streamed from a peer or created here.
 pub type ProxyBody = UnsyncBoxBody<Bytes, BodyError>;
 
-/// Why a body ends early. Whoever reads it sees its stream reset or its connection closed.
+/// Why a body ends early. Its reader sees the stream reset or the connection closed.
 #[derive(Debug, Error)]
 pub enum BodyError {
-    /// The connection it came from failed.
-    #[error("body was lost: {0}")]
+    /// The connection that it came from failed.
+    #[error("connection of the body failed: {0}")]
     Lost(#[from] hyper::Error),
-    /// The stream it came from was ended without its last frame.
-    #[error("body was cut")]
+    /// Its stream ended without the last frame.
+    #[error("body ended without its last frame")]
     Cut,
     /// It is larger than allowed.
     #[error("body is larger than allowed")]
@@ -30,7 +30,7 @@
     DeadlinePassed,
 }
 
-/// Creates a body of bytes at hand.
+/// Creates a body from bytes in memory.
 pub(crate) fn whole_body(bytes: Bytes) -> ProxyBody {
     match bytes.is_empty() {
         true => Empty::new().map_err(|never| match never {}).boxed_unsync(),
@@ -38,18 +38,18 @@
     }
 }
 
-/// A body from a peer that fails where the peer stopped early.
+/// A body from a peer that returns an error if the peer stopped early.
 ///
-/// In HTTP/2 a stream that is reset with the code for "no error" reads as one that has ended, so a
-/// cut upload would run as a whole one, or a cut answer pass as complete. Only the last frame says
-/// that a body is whole, so its absence is an error here.
+/// In HTTP/2 a stream that is reset with the code for "no error" reads like one that has ended, so
+/// a truncated upload would run as a complete one, and a truncated answer would pass as complete.
+/// Only the last frame shows that a body is complete, so its absence is an error here.
 pub(crate) struct CheckedBody {
     inner: Incoming,
     is_framed: bool,
 }
 
 impl CheckedBody {
-    /// Checks the body of a message of a protocol version.
+    /// Wraps the body of a message of a protocol version.
     pub(crate) fn new(inner: Incoming, version: http::Version) -> Self {
         Self { inner, is_framed: version == http::Version::HTTP_2 }
     }
@@ -81,14 +81,14 @@
     }
 }
 
-/// A body whose first part was read already and comes first again.
+/// A body whose first part was already read and is returned first.
 pub(crate) struct PrefixedBody<B> {
     prefix: Bytes,
     rest: B,
 }
 
 impl<B> PrefixedBody<B> {
-    /// Puts bytes before the rest of a body.
+    /// Puts a prefix before the rest of a body.
     pub(crate) fn new(prefix: Bytes, rest: B) -> Self {
         Self { prefix, rest }
     }
--- a/components/proxy/src/claim.rs
+++ b/components/proxy/src/claim.rs
@@ -1,4 +1,6 @@
-//! The border to whatever remembers which keyed requests ran.
+//! Claims on keyed requests: the interface to the store that remembers which of them ran, and the
+//! claim that an attempt holds. A keyed request may run only once, whichever daemons its copies
+//! reach.
 
 use std::{
     sync::Arc,
@@ -8,36 +10,36 @@
 use async_trait::async_trait;
 use derive_more::Display;
 
-/// Longest wait for the note that a claimed request was not run. Beyond it the refusal goes out all
-/// the same: it is true, and a resend is then told "unknown", which is safe.
+/// Longest wait until it is recorded that a claimed request did not run. After it the refusal is
+/// sent all the same: it is true, and a resend is then answered with "unknown", which is safe.
 const SETTLE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Names a keyed request: no two requests that may both run have the same.
+/// Identifies a keyed request: no two requests that may both run share a key.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Hash)]
 #[display("{service} {key}")]
 pub struct ClaimKey {
-    /// Service that is to run it.
+    /// Service that is to run the request.
     pub service: Arc<str>,
     /// The caller's `Idempotency-Key`.
     pub key: String,
 }
 
-/// Identifies one try to run a request, drawn at random.
+/// Identifies one attempt to run a request, drawn at random.
 pub type AttemptId = u64;
 
-/// What became of a claim.
+/// Result of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimVerdict {
     /// This attempt, and no other, may run the request.
     Granted,
-    /// An earlier attempt ran it and was answered with a status.
+    /// An earlier attempt ran the request, and its answer had this status.
     AlreadyRan {
         /// The status.
         status: u16,
     },
-    /// An earlier attempt claimed it, and may be running it or have run it.
+    /// An earlier attempt claimed the request, and may be running it or have run it.
     AlreadyClaimed,
-    /// It cannot be found out. The request must not run.
+    /// The result cannot be determined. The request must not run.
     Unavailable,
 }
 
@@ -49,9 +51,9 @@
         /// The status.
         status: u16,
     },
-    /// The server was sent nothing: another attempt may claim the request.
+    /// Nothing was sent to the server: another attempt may claim the request.
     NotRun,
-    /// The server may have run it.
+    /// The server may have run the request.
     Unknown,
 }
 
@@ -67,8 +69,8 @@
     async fn settle(&self, key: &ClaimKey, attempt: AttemptId, outcome: ClaimOutcome);
 }
 
-/// A claim under way, settled when this is dropped, by whatever way the request ended. A claim that
-/// stayed open would answer every resend with "unknown" until it expires.
+/// A claim that is settled when this is dropped, however the request ended. A claim that stayed
+/// open would answer every resend with "unknown" until it expires.
 pub(crate) struct PendingClaim {
     gate: Arc<dyn ClaimGate>,
     key: ClaimKey,
@@ -94,7 +96,7 @@
         match verdict {
             ClaimVerdict::Granted => Ok(pending),
             verdict => {
-                // An unavailable platform may have taken the claim; it must not stay.
+                // An unavailable platform may have stored the claim, which must not stay.
                 if verdict != ClaimVerdict::Unavailable {
                     pending.outcome = None;
                 }
@@ -103,18 +105,18 @@
         }
     }
 
-    /// Sets what is known of the outcome by now.
+    /// Sets the outcome as far as it is known.
     pub(crate) fn set_outcome(&mut self, outcome: ClaimOutcome) {
         self.outcome = Some(outcome);
     }
 
-    /// Waits a short time until it is noted that the request was not run, so that the retry which
-    /// follows at another daemon is granted.
+    /// Waits a short time until it is recorded that the request did not run, so that the following
+    /// retry at another daemon is granted.
     pub(crate) async fn release_unrun(mut self) {
         self.outcome = None;
         let settle = self.gate.settle(&self.key, self.attempt, ClaimOutcome::NotRun);
         if tokio::time::timeout(SETTLE_TIMEOUT, settle).await.is_err() {
-            log::info!("guard: a claim could not be given back in time.");
+            log::info!("guard: a claim on a request that did not run was not released in time.");
         }
     }
 }
--- a/components/proxy/src/clock.rs
+++ b/components/proxy/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock and the hashes that decisions are fed with.
+//! Clocks and hashes that the decisions take as input.
 
 use std::{
     sync::LazyLock,
@@ -9,8 +9,8 @@
 use sha2::{Digest, Sha256};
 use sk_decide::trip::ClockId;
 
-/// A second before the first reading, so that no reading is zero: a guard takes a start at zero as
-/// "warm".
+/// Offset of one second, so that no reading is zero: a guard treats a start at zero as that of a
+/// warm server.
 static START: LazyLock<(Instant, Duration)> =
     LazyLock::new(|| (Instant::now(), Duration::from_secs(1)));
 
@@ -19,31 +19,31 @@
     START.0.elapsed() + START.1
 }
 
-/// Names this process's clock to others. Drawn at random, so that the next process beside the same
-/// server, which may well have other times, is not taken for this one.
+/// Identifies this process's clock to other daemons. Drawn at random, so that the next process
+/// beside the same server, whose clock may differ, is not mistaken for this one.
 static CLOCK_ID: LazyLock<ClockId> = LazyLock::new(rand::random);
 
-/// Returns the name of this process's clock.
+/// Returns the id of this process's clock.
 pub(crate) fn clock_id() -> ClockId {
     *CLOCK_ID
 }
 
-/// Returns the time on a clock that goes on while the instance is suspended, for times that are compared
-/// with another daemon's.
+/// Returns the time on a clock that also runs while the instance is suspended, for times that are
+/// compared with another daemon's.
 pub(crate) fn transit_now() -> Duration {
     let time = clock_gettime(SystemClock::Boottime);
-    // Never below zero: it counts from the system's start.
+    // Never negative: it counts from the system's start.
     Duration::new(time.tv_sec.unsigned_abs(), u32::try_from(time.tv_nsec).unwrap_or_default())
 }
 
-/// Returns a time in whole microseconds, as it goes over the wire.
+/// Returns a time in whole microseconds, as it is sent to other daemons.
 pub(crate) fn whole_micros(time: Duration) -> u64 {
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// Hashes parts the same on every daemon and in every release.
+/// Hashes parts identically on every daemon and in every release.
 ///
-/// Each part is preceded by its length, so that parts cannot run into each other.
+/// Each part is preceded by its length, so that bytes cannot shift from one part to the next.
 pub(crate) fn stable_hash(parts: &[&[u8]]) -> u64 {
     let mut hasher = Sha256::new();
     for part in parts {
--- a/components/proxy/src/counters.rs
+++ b/components/proxy/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counts of the request path, for the state dump and for metrics.
+//! Counters of the request path, for the state dump and for metrics.
 
 use std::{
     collections::BTreeMap,
@@ -12,7 +12,8 @@
     times::RequestTimes,
 };
 
-/// Counts of one daemon since its start. Relaxed atomics: a dump may be a request behind.
+/// Counters of one daemon since its start. They use relaxed atomics, so a dump may be a request
+/// behind.
 #[derive(Debug)]
 pub struct ProxyCounters {
     in_flight: AtomicU64,
@@ -38,7 +39,7 @@
     }
 }
 
-/// What a dump shows of the counts.
+/// Snapshot of the counters for a dump.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CounterView {
     /// Callers' requests in this daemon now.
@@ -49,23 +50,24 @@
     pub not_run: u64,
     /// Callers' requests of which it is not known whether they ran.
     pub unknown: u64,
-    /// Answers of this daemon's own by reason, as entry and as guard; absent ones are zero.
+    /// Answers made by this daemon itself, by reason, as entry daemon and as guard; absent reasons
+    /// are zero.
     pub refused: BTreeMap<String, u64>,
     /// Attempts after the first.
     pub retries: u64,
-    /// Failed attempts that were not tried again though they might have been.
+    /// Failed attempts that were not retried because of the retry rules.
     pub retries_denied: u64,
     /// Answers that ended in an error after their head.
     pub cut_answers: u64,
 }
 
 impl ProxyCounters {
-    /// Returns the histograms of requests' times.
+    /// Returns the histograms of request times.
     pub fn times(&self) -> &RequestTimes {
         &self.times
     }
 
-    /// Returns the counts.
+    /// Returns a snapshot of the counters.
     pub fn view(&self) -> CounterView {
         let counted = RefusalKind::ALL.iter().zip(&self.refusals);
         let refused = counted
--- a/components/proxy/src/entry_answer.rs
+++ b/components/proxy/src/entry_answer.rs
@@ -1,4 +1,5 @@
-//! What an answer to a caller holds on its way out of the daemon it entered by.
+//! What the entry daemon tracks until the body of an answer to a caller has ended: the number of
+//! requests in flight, and the call at the endpoint, whose result is only known then.
 
 use std::{sync::Arc, time::Duration};
 
@@ -23,7 +24,7 @@
         Self { counters, attempt: None }
     }
 
-    /// Sets the id under which the log tells of an answer that is cut.
+    /// Sets the attempt id that is logged if the answer is cut.
     pub(crate) fn set_attempt(&mut self, attempt: Option<HeaderValue>) {
         self.attempt = attempt;
     }
@@ -40,20 +41,21 @@
 
     fn on_failure(self, err: &BodyError) {
         let attempt = header_text(self.attempt.as_ref());
-        log::warn!(attempt; "proxy: an answer was cut after its head: {err}.");
+        log::warn!(attempt; "proxy: an answer ended early, after its head was sent: {err}.");
     }
 }
 
-/// A call in flight to an endpoint, with how its head was judged.
+/// A call in flight to an endpoint, with the result that its head suggests.
 pub(crate) struct EndpointCall {
     pub(crate) placed: PlacedCall,
-    /// What the head says of the endpoint; none where it speaks of the request alone.
+    /// What the head says about the endpoint; `None` if it concerns the request alone.
     pub(crate) outcome: Option<CallOutcome>,
     pub(crate) latency: Duration,
     pub(crate) counters: Arc<ProxyCounters>,
 }
 
 impl EndpointCall {
+    /// Reports the result to the endpoint's placement record, if there is one.
     fn finish(self, outcome: Option<CallOutcome>) {
         if let Some(outcome) = outcome {
             self.placed.finish(outcome, self.latency, process_now());
--- a/components/proxy/src/exchange.rs
+++ b/components/proxy/src/exchange.rs
@@ -1,4 +1,6 @@
-//! One exchange with the local backend server.
+//! One exchange with the local backend server: sends an admitted request and classifies the
+//! answer. An answer is passed on only if it certainly belongs to the request, and what may have
+//! run is never reported as not run.
 
 use std::{sync::Arc, time::Duration};
 
@@ -33,34 +35,37 @@
     words::{AnswerVerdict, RequestNote},
 };
 
-/// Part of the goal, as a divisor, over which the return of callers is spread whom a server turned away:
-/// enough to keep a herd apart, and little of what they have left.
+/// Divisor of the response-time goal that yields the window over which the retries of callers are
+/// spread whose requests a server rejected: long enough to spread a burst of callers, and a small
+/// part of their remaining time.
 const SHED_RETRY_DIVISOR: u32 = 8;
-/// Longest such time, also where there is no goal.
+/// Longest such window, also without a goal.
 const MAX_SHED_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// How far a request has come, for the answer at its deadline.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SendStage {
-    /// The server has been sent nothing.
+    /// Nothing was sent to the server.
     Waiting,
-    /// The server may have it, by this permit.
+    /// The server may have the request.
     Sent,
-    /// The server may have had it twice. What becomes of the second one says nothing of the first.
+    /// The server may have received the request twice. The result of the second one says nothing
+    /// about the first.
     Resent,
 }
 
-/// A request that may be sent now, with all that must be given back when it ends.
+/// A request that may be sent now, with everything that must be released when it ends.
 pub(crate) struct AdmittedRequest {
     pub(crate) permit: AdmitPermit,
     pub(crate) claim: Option<PendingClaim>,
-    /// Time that its body took to come over the link.
+    /// Time in which its body arrived over the link.
     pub(crate) upload_time: Duration,
     pub(crate) admitted_at: Instant,
     pub(crate) deadline: Instant,
 }
 
-/// Sends an admitted request to the server and gives its answer, or one that tells what is known.
+/// Sends an admitted request to the server and returns its answer, or one made here that states
+/// what is known.
 pub(crate) async fn send(
     context: &Arc<GuardContext>,
     server: &Arc<GuardedServer>,
@@ -70,8 +75,8 @@
     stage: &mut SendStage,
 ) -> Response<ProxyBody> {
     let response = send_until_taken(context, server, request, call, admitted, stage).await;
-    // The server may have run what it first got, and died. If the process in its place turns the
-    // request away, the caller would be told that nothing service_time.
+    // The server may have run the first copy, and died. If the process in its place rejects the
+    // second, the caller would be told that nothing ran.
     match RequestOutcome::read(response.headers()) {
         Some(RequestOutcome::NotRun) if *stage == SendStage::Resent => {
             let mut response = error_answer(RefusalKind::AnswerLost, RequestOutcome::Unknown);
@@ -82,7 +87,7 @@
     }
 }
 
-/// Sends on one connection after the other until one takes the request.
+/// Sends on one connection after the other until one accepts the request.
 async fn send_until_taken(
     context: &Arc<GuardContext>,
     server: &Arc<GuardedServer>,
@@ -99,7 +104,7 @@
             match server.pool.acquire(call.is_repeatable).await {
                 Ok(found) => found,
                 Err(err) => {
-                    log::info!("guard: {}: {err}.", server.id);
+                    log::info!("guard: no connection to server {}: {err}.", server.id);
                     check_for_crash(
                         context.quarantine.clone(),
                         context.servers.clone(),
@@ -108,8 +113,8 @@
                     return refuse_unsent(admitted, RefusalKind::ServerUnreachable).await;
                 }
             };
-        // A process that was paused wakes here with a request whose caller was told long ago that
-        // its end is unknown. It could still run, but nobody waits for it.
+        // A daemon that was paused may resume here with a request whose caller was told long ago
+        // that its outcome is unknown. It could still run, but nobody waits for it.
         if admitted.deadline <= Instant::now() {
             return refuse_unsent(admitted, RefusalKind::DeadlineTooNear).await;
         }
@@ -133,8 +138,8 @@
                 server.record_end(status.is_server_error() || !is_own);
                 return match verdict {
                     AnswerVerdict::Sound => {
-                        let span = (admitted.upload_time + took, admitted.deadline);
-                        stream_answer(response, exchange, admitted.claim, span)
+                        let times = (admitted.upload_time + took, admitted.deadline);
+                        stream_answer(response, exchange, admitted.claim, times)
                     }
                     verdict => reject_answer(verdict, call.goal(), exchange, admitted.claim).await,
                 };
@@ -151,14 +156,21 @@
                     if let Some(idle) = idle {
                         server.pool.record_stale(idle);
                     }
-                    // Once and at once: the server most likely forgot the connection.
+                    // Resent once, without delay: the server most likely dropped the connection
+                    // while it was idle.
                     if let Some(again) = copy.take().filter(|_| idle.is_some()) {
-                        log::info!("guard: {} reset a connection that was idle: {err}.", server.id);
+                        log::info!(
+                            "guard: server {} reset an idle connection; resending the request: {err}.",
+                            server.id
+                        );
                         request = again;
                         *stage = SendStage::Resent;
                         continue;
                     }
-                    log::info!("guard: {} end_broken an answer: {err}.", server.id);
+                    log::info!(
+                        "guard: connection to server {} failed before the answer: {err}.",
+                        server.id
+                    );
                     return end_broken(context, server, &admitted.permit, &err);
                 }
             },
@@ -166,7 +178,7 @@
     }
 }
 
-/// Returns a copy of a request that may be sent again as it is.
+/// Returns a copy of a request that may be sent again unchanged: repeatable and without a body.
 fn resendable_copy(request: &Request<ProxyBody>, call: &GuardCall) -> Option<Request<ProxyBody>> {
     let is_plain = call.is_repeatable && request.body().is_end_stream();
     is_plain.then(|| {
@@ -179,6 +191,7 @@
 }
 
 impl AdmittedRequest {
+    /// Records that the server may receive the request from now on.
     fn record_sent(&mut self, call: &GuardCall, stage: &mut SendStage) {
         if *stage != SendStage::Resent {
             *stage = SendStage::Sent;
@@ -187,6 +200,7 @@
         self.set_claim(ClaimOutcome::Unknown);
     }
 
+    /// Records that no byte of the request was sent, unless a first copy was.
     fn record_unsent(&mut self, stage: &mut SendStage) {
         if *stage == SendStage::Resent {
             return;
@@ -203,7 +217,7 @@
     }
 }
 
-/// Ends an admitted request that was not sent.
+/// Refuses an admitted request that was not sent, and releases its slot and claim.
 async fn refuse_unsent(admitted: AdmittedRequest, kind: RefusalKind) -> Response<ProxyBody> {
     drop(admitted.permit);
     if let Some(claim) = admitted.claim {
@@ -219,7 +233,7 @@
     permit: &AdmitPermit,
     err: &hyper::Error,
 ) -> Response<ProxyBody> {
-    // A body that failed is the caller's doing and says nothing of the server.
+    // A failed request body is caused by the caller and says nothing about the server.
     if !err.is_user() {
         server.record_end(true);
         permit.record_broken();
@@ -230,6 +244,7 @@
     response
 }
 
+/// Streams a server's answer to the entry daemon, until a short time after its deadline.
 fn stream_answer(
     mut response: Response<Incoming>,
     exchange: OpenExchange,
@@ -240,7 +255,10 @@
         claim.set_outcome(ClaimOutcome::Ran { status: response.status().as_u16() });
     }
     if response.status().is_informational() {
-        log::warn!("guard: {} switches protocols unasked.", exchange.server.id);
+        log::warn!(
+            "guard: server {} answered with an unrequested protocol switch.",
+            exchange.server.id
+        );
         return error_answer(RefusalKind::AnswerUnsound, RequestOutcome::Ran);
     }
     let headers = response.headers_mut();
@@ -255,18 +273,18 @@
     })
 }
 
-/// Returns when a caller may return whose request a server turned away although it had a slot free.
+/// Returns the retry delay for a request that a server rejected although it had a free slot.
 ///
-/// Such a server sheds by chance or by a count of its own, and the next try has as good a chance as the
-/// first. Told to come back after a second, callers waited for as long as they could, and what was then
-/// served was late.
+/// Such a server sheds load at random or by a count of its own, and the next attempt is as likely
+/// to succeed as the first. With a delay of a second, callers waited as long as they could, and
+/// what was then served was late.
 fn shed_retry_delay(goal: Option<Duration>) -> Duration {
     let window = goal.map_or(MAX_SHED_RETRY_DELAY, |goal| goal / SHED_RETRY_DIVISOR);
     draw_between(Duration::ZERO, window.min(MAX_SHED_RETRY_DELAY), &mut rand::rng())
 }
 
-/// Ends an exchange whose answer must not reach the caller. Its connection is closed, since what
-/// comes next on it may belong to another request.
+/// Ends an exchange whose answer must not reach the caller. Its connection is closed, because the
+/// next bytes on it may belong to another request.
 async fn reject_answer(
     verdict: AnswerVerdict,
     goal: Option<Duration>,
@@ -276,14 +294,16 @@
     let id = &exchange.server.id;
     let mut response = match verdict {
         AnswerVerdict::NotExecuted => {
-            log::info!("guard: {id} turned a request away.");
+            log::info!("guard: server {id} rejected a request without running it.");
             if let Some(claim) = claim {
                 claim.release_unrun().await;
             }
             refuse_with_delay(RefusalKind::TurnedAway, shed_retry_delay(goal))
         }
         verdict => {
-            log::warn!("guard: {id} gave an answer that is not its own: {verdict:?}.");
+            log::warn!(
+                "guard: server {id} sent an answer that is not a valid answer to the request: {verdict:?}."
+            );
             error_answer(RefusalKind::AnswerUnsound, RequestOutcome::Unknown)
         }
     };
@@ -291,18 +311,20 @@
     response
 }
 
+/// Removes headers that must not leave with an answer.
 fn strip_answer(headers: &mut HeaderMap) {
     strip_hop_headers(headers);
     strip_own_headers(headers);
 }
 
+/// Returns the call's context with the time that remains now.
 fn remaining_context(call: &GuardCall, deadline: Instant) -> CallContext {
     let remaining = deadline.saturating_duration_since(Instant::now());
     CallContext { remaining, ..call.context() }
 }
 
-/// Creates the request that the server gets: its path alone as target, the caller's host, and what
-/// the server is told in the platform's words.
+/// Creates the request for the server: its path alone as target, the caller's host, and the
+/// platform's headers.
 fn server_request(
     context: &GuardContext,
     mut request: Request<ProxyBody>,
--- a/components/proxy/src/failed_calls.rs
+++ b/components/proxy/src/failed_calls.rs
@@ -1,9 +1,10 @@
-//! Calls of the local backend server, for the line of the request they were made for.
+//! Failed calls of the local backend server, for the log line of the request for which it made
+//! them.
 //!
-//! A server that cannot finish because a call of its own failed answers 500, and nothing in the answer
-//! says why. Its call went through this daemon; what is known of the call goes with the answer to the
-//! daemon of entry, whose line then tells it. Open calls are a part of that: a server that gives a call
-//! up answers before this daemon sees the end of the call's connection.
+//! A server that cannot finish because a call of its own failed answers 500, and nothing in the
+//! answer says why. Its call went through this daemon, which sends what it knows of the call with
+//! the answer to the entry daemon, whose log line then shows it. Open calls are included: a server
+//! that abandons a call answers before this daemon sees the end of the call's connection.
 
 use std::{
     collections::VecDeque,
@@ -11,9 +12,9 @@
     time::{Duration, Instant},
 };
 
-/// Calls that are remembered: a second's calls of a busy server, and their failures.
+/// Number of calls kept: a second's calls of a busy server, and their failures.
 const MAX_CALLS: usize = 512;
-/// Time for which one is of use: longer than a server takes to give up after it.
+/// Time for which a call is kept: longer than a server takes to give up after it failed.
 const CALL_RETENTION: Duration = Duration::from_secs(10);
 
 /// Identifies a call from its start to its end.
@@ -24,7 +25,7 @@
     parent: String,
     service: String,
     begun: Instant,
-    /// How it failed, none while it is open.
+    /// How it failed; `None` while it is open.
     failure: Option<String>,
 }
 
@@ -34,12 +35,12 @@
     next: CallNumber,
 }
 
-/// The calls that are open or failed lately.
+/// Calls that are open or failed recently.
 #[derive(Default)]
 pub struct FailedCalls(Mutex<CallList>);
 
 impl FailedCalls {
-    /// Records that a call begins.
+    /// Adds a call that begins now, made for the request with the id `parent`.
     pub(crate) fn begin(&self, parent: &str, service: &str) -> CallNumber {
         let mut list = self.lock();
         list.calls.retain(|call| call.begun.elapsed() < CALL_RETENTION);
@@ -58,7 +59,7 @@
         number
     }
 
-    /// Records how a call ended; one that succeeded is forgotten.
+    /// Records how a call ended; a successful one is removed.
     pub(crate) fn end(&self, number: CallNumber, failure: Option<String>) {
         let mut list = self.lock();
         match failure {
@@ -72,16 +73,17 @@
         }
     }
 
-    /// Takes what is known of the calls that were made for a request.
+    /// Removes the calls made for a request and returns their description; `None` if there are
+    /// none.
     pub(crate) fn take(&self, parent: &str) -> Option<String> {
         let mut list = self.lock();
         let mut found = Vec::new();
         list.calls.retain(|call| {
-            let is_its = call.parent == parent;
-            if is_its {
+            let is_match = call.parent == parent;
+            if is_match {
                 found.push(call.describe());
             }
-            !is_its
+            !is_match
         });
         (!found.is_empty()).then(|| found.join(", "))
     }
--- a/components/proxy/src/gate.rs
+++ b/components/proxy/src/gate.rs
@@ -1,4 +1,6 @@
-//! Admission to the local backend server, for tasks that wait.
+//! Admission to the local backend server: applies the decisions of [`AdmissionGuard`] to the tasks
+//! that wait for a slot. A slot is returned however its request ends, because a lost slot would
+//! reduce the server's capacity until the daemon restarts.
 
 use std::{
     collections::VecDeque,
@@ -21,13 +23,13 @@
 type WaitSender = oneshot::Sender<Result<(), RefusalReason>>;
 type WaitReceiver = oneshot::Receiver<Result<(), RefusalReason>>;
 
-/// Time for which a server may still work on a request whose caller has abandoned. Without it a request
-/// that crashes servers, sent by a caller who never waits, would not be found among those in flight.
+/// Time for which a server may still work on an abandoned request. Without it, a request that
+/// crashes servers, sent by a caller who never waits, would not be found among those in flight.
 const ABANDONED_WINDOW: Duration = Duration::from_secs(1);
-/// Departed callers' requests remembered.
+/// Number of abandoned requests remembered.
 const MAX_ABANDONED: usize = 64;
 
-/// A request that the server has, or had when its connection broke.
+/// A request that the server is running, or was when its connection broke.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct InFlightRequest {
     pub(crate) fingerprint: Fingerprint,
@@ -37,11 +39,11 @@
 struct GateState {
     guard: AdmissionGuard,
     waiting: SecondaryMap<Ticket, WaitSender>,
-    /// Requests of which the server has been sent at least a part.
+    /// Requests that were sent to the server at least in part.
     sent: SecondaryMap<Ticket, Fingerprint>,
-    /// Requests whose connection broke, until it is clear whether the server died.
+    /// Requests whose connection broke, until it is known whether the server died.
     broken: Vec<InFlightRequest>,
-    /// Requests whose callers abandoned, with the time at which they did, the newest last.
+    /// Abandoned requests and the time at which their callers left, the newest last.
     abandoned: VecDeque<(Duration, InFlightRequest)>,
     has_expiry_task: bool,
 }
@@ -52,7 +54,7 @@
     queued: Notify,
 }
 
-/// An admitted request. Its slot is free again when this is dropped, whatever the reason: a slot
+/// An admitted request. Its slot is free again when this is dropped, for whatever reason: a slot
 /// that a departed caller kept would be lost until the daemon's end.
 pub(crate) struct AdmitPermit {
     gate: Arc<AdmissionGate>,
@@ -74,7 +76,7 @@
         Self { state: Mutex::new(state), queued: Notify::new() }
     }
 
-    /// Admits a request, at once or when its decision comes.
+    /// Admits a request, at once or after waiting in the queue.
     ///
     /// # Errors
     ///
@@ -88,12 +90,12 @@
         match decision.await {
             Ok(Ok(())) => Ok(permit),
             Ok(Err(reason)) => Err(self.refuse(reason)),
-            // The gate keeps the sender for as long as the ticket is queued.
+            // The gate keeps the sender as long as the ticket is queued.
             Err(_) => Err(self.refuse(RefusalReason::Draining)),
         }
     }
 
-    /// Decides whether an upload is worth taking off the link.
+    /// Decides whether an upload is worth receiving over the link.
     ///
     /// # Errors
     ///
@@ -106,14 +108,14 @@
         self.lock().guard.consider_upload(request, link, process_now(), &mut rand::rng())
     }
 
-    /// Refuses all new and queued requests from now on; those that run go on.
+    /// Refuses all new and queued requests from now on; running ones continue.
     pub(crate) fn drain(&self) {
         let mut state = self.lock();
         let released = state.guard.drain();
         state.deliver(released);
     }
 
-    /// Returns the load in percent and how long a request would wait for a slot now.
+    /// Returns the load in percent and the time that a request would now wait for a slot.
     pub(crate) fn load_and_wait(&self) -> (u32, Duration) {
         let (state, now) = (self.lock(), process_now());
         ((state.guard.load(now) * 100.0).round() as u32, state.guard.wait_hint(now))
@@ -124,39 +126,40 @@
         self.lock().guard.state(process_now())
     }
 
-    /// Records how many large answers wait for the link.
+    /// Sets how many large answers wait for the link.
     pub(crate) fn set_waiting_answers(&self, answers: usize) {
         let mut state = self.lock();
         let released = state.guard.set_held_back(answers, process_now());
         state.deliver(released);
     }
 
-    /// Takes the requests whose connection broke since the last call, and those the server has or
-    /// may still be working on.
+    /// Takes the requests whose connection broke since the last call, and returns them with those
+    /// that the server runs or may still be working on.
     pub(crate) fn take_in_flight(&self) -> Vec<InFlightRequest> {
         let mut state = self.lock();
-        let mut flights = std::mem::take(&mut state.broken);
+        let mut requests = std::mem::take(&mut state.broken);
         let since = process_now().saturating_sub(ABANDONED_WINDOW);
         let abandoned = std::mem::take(&mut state.abandoned).into_iter();
-        flights.extend(abandoned.filter(|(at, _)| *at >= since).map(|(_, flight)| flight));
+        requests.extend(abandoned.filter(|(at, _)| *at >= since).map(|(_, request)| request));
         let running = state.sent.iter().map(|(ticket, fingerprint)| InFlightRequest {
             fingerprint: *fingerprint,
             is_trial: state.guard.is_trial(ticket),
         });
-        flights.extend(running);
-        flights
+        requests.extend(running);
+        requests
     }
 
-    /// Forgets broken connections, once it is clear that the server lives.
+    /// Forgets broken connections, once it is known that the server is alive.
     pub(crate) fn forget_broken(&self) {
         self.lock().broken.clear();
     }
 
-    /// Counts the broken connections that are not yet explained.
+    /// Returns the number of broken connections since the last check.
     pub(crate) fn broken_count(&self) -> usize {
         self.lock().broken.len()
     }
 
+    /// Offers a request to the guard; the receiver is present if the request is queued.
     fn offer(
         self: &Arc<Self>,
         request: &GuardRequest,
@@ -196,10 +199,11 @@
 }
 
 impl GateState {
+    /// Wakes the tasks whose queued requests were admitted or refused.
     fn deliver(&mut self, released: Released) {
         for ticket in released.start {
             if let Some(sender) = self.waiting.remove(ticket) {
-                // Nobody waits any more: the permit's own end gives the slot back.
+                // Nobody waits any more: the permit's own end returns the slot.
                 let _ = sender.send(Ok(()));
             }
         }
@@ -210,6 +214,8 @@
         }
     }
 
+    /// Returns the slot or queue place of a ticket; a sent request without a complete answer is
+    /// remembered as abandoned.
     fn end(&mut self, ticket: Ticket, is_complete: bool) {
         if let Some(fingerprint) = self.sent.remove(ticket).filter(|_| !is_complete) {
             let is_trial = self.guard.is_trial(ticket);
@@ -228,7 +234,7 @@
 }
 
 impl AdmitPermit {
-    /// Records that the server is being sent the request.
+    /// Records that the request is being sent to the server.
     pub(crate) fn record_sent(&self, fingerprint: Fingerprint) {
         self.gate.lock().sent.insert(self.ticket, fingerprint);
     }
@@ -262,7 +268,7 @@
     }
 }
 
-/// Refuses queued requests when they have waited too long, until none is queued.
+/// Refuses queued requests that have waited too long, until none is queued.
 async fn expire_queued(gate: Arc<AdmissionGate>) {
     loop {
         let next = {
--- a/components/proxy/src/guard.rs
+++ b/components/proxy/src/guard.rs
@@ -1,4 +1,6 @@
-//! From another daemon to the local backend server, which only this daemon sends to.
+//! The guard side of the request path: from an entry daemon to the local backend server, which
+//! only this daemon sends to. A request is admitted here before the server sees it, so that the
+//! server is never given more than its slots, and a request refused here certainly did not run.
 
 use std::{
     sync::{Arc, PoisonError},
@@ -34,17 +36,17 @@
     transfers::is_large,
 };
 
-/// How a request came to this daemon.
+/// How a request reached this daemon.
 #[derive(Clone, Copy, Debug)]
 struct CallArrival {
     at: Instant,
     deadline: Instant,
-    /// Whether its body comes over the instance's link.
-    over_link: bool,
+    /// Whether its body arrives over the instance's link.
+    is_over_link: bool,
 }
 
-/// Takes one request from another daemon. `accepted_at` is when its connection was accepted, on the
-/// clock that trips are measured by.
+/// Handles one request from another daemon. `accepted_at` is when its connection was accepted, on
+/// the clock of [`transit_now`](crate::clock::transit_now).
 pub(crate) async fn handle_peer_request(
     context: Arc<GuardContext>,
     request: Request<Incoming>,
@@ -71,10 +73,10 @@
     forward_to_server(context, request, call, Some(transit_delay)).await
 }
 
-/// Passes one request to the local backend server, or refuses it as not run.
+/// Forwards one request to the local backend server, or refuses it as not run.
 ///
-/// Also the way of a request whose endpoint is beside the very daemon that it entered by. `transit_delay` is
-/// what a call of another daemon has lost on its way.
+/// Requests whose endpoint is beside their own entry daemon also come here, without a
+/// `transit_delay`: this is the time that a call from another daemon was delayed in transit.
 pub(crate) async fn forward_to_server(
     context: Arc<GuardContext>,
     mut request: Request<ProxyBody>,
@@ -86,13 +88,13 @@
     let attempt = context.words.attempt(request.headers()).cloned();
     let at = Instant::now();
     let deadline = context.drain.bound(at + call.context().remaining);
-    let arrival = CallArrival { at, deadline, over_link: transit_delay.is_some() };
+    let arrival = CallArrival { at, deadline, is_over_link: transit_delay.is_some() };
     let mut abandon_log = AbandonLog::new(attempt, at, transit_delay.unwrap_or_default());
     let passed = admit_and_send(&context, request, &call, arrival, &mut abandon_log.stage);
     let mut response = match context.drain.await_until(deadline, GUARD_GRACE, passed).await {
         Some(response) => response,
-        // Dropping the exchange has closed its connection, which tells the server to give up, and
-        // a transit_delay answer has no way left to any caller.
+        // Dropping the exchange has closed its connection, which tells the server to stop, and a
+        // late answer can no longer reach any caller.
         None => match abandon_log.stage {
             SendStage::Waiting => refuse(RefusalKind::DeadlineTooNear),
             SendStage::Sent | SendStage::Resent => {
@@ -113,6 +115,7 @@
     response
 }
 
+/// Admits a request, claims it if it has a key, and sends it to the server.
 async fn admit_and_send(
     context: &Arc<GuardContext>,
     request: Request<ProxyBody>,
@@ -132,7 +135,7 @@
     };
     let deadline = arrival.deadline;
     let offer = guard_request(call, deadline, alone);
-    let (request, offer) = match arrival.over_link && !request.body().is_end_stream() {
+    let (request, offer) = match arrival.is_over_link && !request.body().is_end_stream() {
         true => match receive_upload(&server, request, offer).await {
             Ok(taken) => taken,
             Err(response) => return *response,
@@ -154,8 +157,12 @@
     send(context, &server, request, call, admitted, stage).await
 }
 
-/// Takes the body of a request off the link, if it is worth that, and gives the request with what it is
-/// then offered as.
+/// Receives the body of a request, if the request is worth it, and returns the request with the
+/// adjusted offer to the gate.
+///
+/// # Errors
+///
+/// Returns the refusal of an upload that would not be admitted, or whose body broke off.
 async fn receive_upload(
     server: &GuardedServer,
     request: Request<ProxyBody>,
@@ -166,16 +173,22 @@
         let considered = server.gate.consider_upload(&offer, &server.upload_transfers.ahead());
         considered.map_err(|refusal| Box::new(refuse_admission(server, refusal)))?;
     }
-    let _coming = IncomingCount::new(&server.incoming);
+    let _incoming = IncomingCount::new(&server.incoming);
     let request = receive_body(request, &server.upload_transfers).await.map_err(|err| {
-        log::info!("guard: a request's body broke off: {err}.");
+        log::info!("guard: the body of a request broke off: {err}.");
         Box::new(refuse(RefusalKind::DeadlineTooNear))
     })?;
-    // The bytes of an upload would have to come again elsewhere, so that it waits here for a slot.
+    // An upload queues here without the limit on its wait, because its bytes would have to be sent
+    // again to any other endpoint.
     let most_wait = offer.most_wait.filter(|_| !is_upload);
     Ok((request, GuardRequest { most_wait, ..offer }))
 }
 
+/// Waits for the admission of a request and observes how long that took.
+///
+/// # Errors
+///
+/// Returns the final [`Refusal`]; the request did not run.
 async fn admit(
     context: &GuardContext,
     server: &GuardedServer,
@@ -190,6 +203,7 @@
     admitted
 }
 
+/// Creates the answer for a refusal by the gate.
 fn refuse_admission(server: &GuardedServer, refusal: Refusal) -> Response<ProxyBody> {
     let Refusal { reason, retry_after, figures } = refusal;
     let mut response = refuse_with_delay(server.refusal_kind(reason), retry_after);
@@ -200,8 +214,7 @@
     response
 }
 
-/// Decides how a request may run that was at a server when it died, and tells the log where that is
-/// not as any other.
+/// Returns how a request may run that may have crashed a server, and logs it if it is restricted.
 fn judge_quarantine(
     context: &GuardContext,
     request: &Request<ProxyBody>,
@@ -215,16 +228,17 @@
         QuarantineVerdict::Clear => {}
         QuarantineVerdict::TryAlone => log::info!(
             attempt, fingerprint:%;
-            "guard: a request was at a server that died and runs alone now."
+            "guard: a request that was running on a crashed server is run alone."
         ),
         QuarantineVerdict::Refused(left) => log::warn!(
             attempt, fingerprint:%, left_ms = left.as_millis() as u64;
-            "guard: a request that crashed servers is refused."
+            "guard: refused a quarantined request: servers crashed while running it."
         ),
     }
     verdict
 }
 
+/// Describes a call for the admission to the gate.
 fn guard_request(call: &GuardCall, deadline: Instant, alone: bool) -> GuardRequest {
     let left = deadline.saturating_duration_since(Instant::now());
     let now = process_now();
@@ -240,13 +254,19 @@
     }
 }
 
-/// Names a request that may run once only and brings a key.
+/// Returns the claim key of a request that may run only once and has an `Idempotency-Key`.
 fn claim_key(request: &Request<ProxyBody>, call: &GuardCall) -> Option<ClaimKey> {
     let key = request.headers().get(KEY_HEADER).filter(|_| !call.is_repeatable)?;
     let key = String::from_utf8_lossy(key.as_bytes()).into_owned();
     Some(ClaimKey { service: call.service.clone(), key })
 }
 
+/// Claims a keyed request; `None` if it has no key.
+///
+/// # Errors
+///
+/// Returns the answer to a request that may not run, because another copy of it holds the claim or
+/// claims are unavailable.
 async fn claim(
     context: &GuardContext,
     key: Option<ClaimKey>,
--- a/components/proxy/src/headers.rs
+++ b/components/proxy/src/headers.rs
@@ -1,4 +1,5 @@
-//! Headers that concern one hop only, and those of the system's own.
+//! Headers that concern one hop only, and the headers of the system itself. Passing them on
+//! unchecked would change the framing of a message or let a caller pose as a daemon.
 
 use std::time::Duration;
 
@@ -8,18 +9,19 @@
 };
 use sk_decide::deadline::CallContext;
 
-/// Header with the milliseconds that are left of a call. A service copies it into nested calls.
+/// Header with the remaining time of a call in milliseconds. A service copies it into nested
+/// calls.
 pub const DEADLINE_HEADER: &str = "x-sapphirekeel-deadline-ms";
-/// Header with the hops a call has taken. A service copies it into nested calls.
+/// Header with the number of hops of a call. A service copies it into nested calls.
 pub const HOPS_HEADER: &str = "x-sapphirekeel-hops";
 /// Header with the retries of the layers above. A service copies it into nested calls.
 pub const RETRIED_HEADER: &str = "x-sapphirekeel-retried";
 
-/// Header by which a caller says that a request must not run twice.
+/// Header by which a caller requires that a request does not run twice.
 pub(crate) const KEY_HEADER: &str = "idempotency-key";
 
 const OWN_PREFIX: &str = "x-sapphirekeel-";
-/// Headers that RFC 9110, section 7.6.1, keeps to one hop, and the older ones of the same kind.
+/// Headers that RFC 9110, section 7.6.1, restricts to one hop, and older ones of the same kind.
 const HOP_HEADERS: [HeaderName; 8] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -31,8 +33,8 @@
     header::UPGRADE,
 ];
 
-/// Removes what concerns the last hop only, which the next one would misread: a `Connection`
-/// header, for one, makes a request malformed in HTTP/2.
+/// Removes headers that concern the last hop only and that the next one would misread: a
+/// `Connection` header, for example, makes a request malformed in HTTP/2.
 pub(crate) fn strip_hop_headers(headers: &mut HeaderMap) {
     if headers.contains_key(header::CONNECTION) {
         for name in named_headers(headers) {
@@ -42,17 +44,17 @@
     for name in &HOP_HEADERS {
         headers.remove(name);
     }
-    // A body that came in chunks is framed anew. Its sender's length, if it gave one too, is not
-    // to be trusted: two readers that trust different ones take different requests from a stream.
+    // A chunked body is framed anew. A length that its sender also stated cannot be trusted: two
+    // readers that trust different ones would split a stream into different requests.
     if headers.remove(header::TRANSFER_ENCODING).is_some() {
         headers.remove(header::CONTENT_LENGTH);
     }
-    // Each hop of ours reads the body at once, so nobody waits for the interim answer.
+    // Each daemon reads the body at once, so nobody waits for the interim answer.
     headers.remove(header::EXPECT);
 }
 
-/// Returns the headers that `Connection` names. `Host` and the length stay even if named: without
-/// them the request would be another one.
+/// Returns the headers that `Connection` names. `Host` and the length stay even if named, because
+/// the request would be a different one without them.
 fn named_headers(headers: &HeaderMap) -> Vec<HeaderName> {
     let values = headers.get_all(header::CONNECTION).iter();
     values
@@ -67,13 +69,13 @@
         .collect()
 }
 
-/// Joins cookies into one header, as RFC 9113, section 8.2.3, asks of whoever passes a request on
-/// from HTTP/2 to HTTP/1.1: servers there read the first one only.
+/// Joins cookies into one header, as RFC 9113, section 8.2.3, requires when a request is passed on
+/// from HTTP/2 to HTTP/1.1: servers there read only the first header.
 pub(crate) fn join_cookies(headers: &mut HeaderMap) {
     if headers.get_all(header::COOKIE).iter().nth(1).is_some() {
-        let crumbs: Vec<&[u8]> =
+        let cookies: Vec<&[u8]> =
             headers.get_all(header::COOKIE).iter().map(HeaderValue::as_bytes).collect();
-        if let Ok(cookie) = HeaderValue::from_bytes(&crumbs.join(&b"; "[..])) {
+        if let Ok(cookie) = HeaderValue::from_bytes(&cookies.join(&b"; "[..])) {
             headers.insert(header::COOKIE, cookie);
         }
     }
@@ -90,8 +92,8 @@
     }
 }
 
-/// Reads what a call carries, bounded by the deadline of its route. `remaining` is how long the
-/// caller will wait, where it tells.
+/// Reads the context of a call, bounded by the deadline of its route. `remaining` is how long the
+/// caller will wait, if it states that.
 pub(crate) fn read_context(
     headers: &HeaderMap,
     remaining: Option<Duration>,
@@ -104,7 +106,7 @@
     CallContext { remaining, hops, retried_above }.bounded_by(deadline)
 }
 
-/// Text of a field of the log that there is nothing for.
+/// Text of a log key without a value.
 pub(crate) const NO_TEXT: &str = "-";
 
 /// Returns a header's value as text for the log.
@@ -117,12 +119,13 @@
     headers.get(name)?.to_str().ok()?.parse().ok()
 }
 
-/// Returns whether a call is nested: made by a service for a call that came through a daemon.
+/// Returns whether a call is nested: made by a service while it handles a call that came through a
+/// daemon.
 pub(crate) fn is_nested(headers: &HeaderMap) -> bool {
     headers.get(HOPS_HEADER).is_some_and(|hops| hops.as_bytes() != b"0")
 }
 
-/// Writes what a backend server's nested calls are to carry.
+/// Writes the context that a backend server's nested calls carry on.
 pub(crate) fn write_context(headers: &mut HeaderMap, call: &CallContext) {
     let millis = u64::try_from(call.remaining.as_millis()).unwrap_or(u64::MAX);
     headers.insert(HeaderName::from_static(DEADLINE_HEADER), HeaderValue::from(millis));
--- a/components/proxy/src/identity.rs
+++ b/components/proxy/src/identity.rs
@@ -1,4 +1,5 @@
-//! Asking the local backend server who it is.
+//! Asks the local backend server for its identity, so that a daemon that has just started knows
+//! the server before its next announcement.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -12,41 +13,42 @@
 
 use crate::words::{RequestWords, ServerIdentity};
 
-/// Time for an answer. The server is on the same instance; one that waits for a slot answers after the
-/// work of others.
+/// Time for an answer. The server is on the same instance; a server whose slots are taken answers
+/// only after the work of others.
 const IDENTITY_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why a server could not be asked.
+/// Why a server gave no answer.
 #[derive(Debug, Error)]
 pub enum IdentityError {
-    /// It does not accept.
-    #[error("server does not accept: {0}")]
+    /// The server does not accept connections.
+    #[error("server does not accept connections: {0}")]
     Refused(#[from] std::io::Error),
     /// The connection failed.
     #[error("connection failed: {0}")]
     Connection(#[from] hyper::Error),
-    /// There is no answer in time.
+    /// No answer arrived in time.
     #[error("no answer in time")]
     Timeout,
-    /// The path of the service's setting makes no request.
-    #[error("malformed path: {0}")]
+    /// The health path in the service's setting does not form a valid request.
+    #[error("malformed health path: {0}")]
     Path(#[from] http::Error),
 }
 
-/// Asks the server at an address who it is; none where it does not say or takes no work.
+/// Asks the server at an address for its identity; `None` if it reports none or accepts no work.
 ///
 /// # Errors
 ///
-/// Returns a [`IdentityError`] if there is no answer.
+/// Returns an [`IdentityError`] if there is no answer.
 pub async fn ask_identity(
     words: &dyn RequestWords,
     address: SocketAddr,
     path: &str,
 ) -> Result<Option<ServerIdentity>, IdentityError> {
-    let asked = timeout(IDENTITY_TIMEOUT, ask(words, address, path)).await;
-    asked.unwrap_or(Err(IdentityError::Timeout))
+    let answered = timeout(IDENTITY_TIMEOUT, ask(words, address, path)).await;
+    answered.unwrap_or(Err(IdentityError::Timeout))
 }
 
+/// Sends the health request on a connection of its own and reads the identity from the answer.
 async fn ask(
     words: &dyn RequestWords,
     address: SocketAddr,
@@ -58,7 +60,7 @@
     let request =
         Request::get(path).header(header::HOST, address.to_string()).body(Empty::<Bytes>::new())?;
     let answer = sender.send_request(request).await;
-    // The connection is of no further use, whatever the answer is.
+    // The connection is not needed any longer, whatever the answer is.
     connection.abort();
     let answer = answer?;
     Ok(words.read_identity(answer.status(), answer.headers()))
--- a/components/proxy/src/local.rs
+++ b/components/proxy/src/local.rs
@@ -232,7 +232,7 @@
                 let is_kept = is_kept(entry);
                 if !is_kept {
                     let silent_ms = entry.server.announced.elapsed().as_millis() as u64;
-                    log::info!(silent_ms; "guard: removed server {}: it no longer announces itself, was replaced or died.", entry.guarded.id);
+                    log::info!(silent_ms; "guard: removed server {} from the local servers.", entry.guarded.id);
                     retire(&entry.guarded);
                 }
                 is_kept
--- a/components/proxy/src/open_exchange.rs
+++ b/components/proxy/src/open_exchange.rs
@@ -1,4 +1,6 @@
-//! What an answer of the local backend server holds on its way out: the slot and the connection.
+//! The open exchange behind an answer of the local backend server: it holds the slot and the
+//! connection until the answer's body ends, so that neither is reused while bytes of this answer
+//! remain.
 
 use std::sync::Arc;
 
@@ -9,8 +11,8 @@
     pool::ServerSender, quarantine::check_for_crash, tracked_body::BodyEndHandler,
 };
 
-/// What an exchange with the server holds until the end of its answer, or until its caller leaves:
-/// then the connection is dropped unread and so closed.
+/// An exchange whose answer is still being read. If its caller leaves, it is dropped, and the
+/// connection is closed unread.
 pub(crate) struct OpenExchange {
     pub(crate) context: Arc<GuardContext>,
     pub(crate) server: Arc<GuardedServer>,
@@ -20,14 +22,14 @@
 }
 
 impl OpenExchange {
-    /// Ends an exchange whose answer was read whole: its connection may be used again.
+    /// Ends an exchange whose answer was read completely: its connection may be used again.
     fn complete(self) {
         self.context.quarantine.record_success(self.fingerprint);
         self.server.pool.release(self.sender);
         self.permit.finish();
     }
 
-    /// Ends an exchange whose connection fail within the answer.
+    /// Ends an exchange whose connection broke within the answer.
     fn fail(self) {
         self.permit.record_broken();
         let (quarantine, servers) = (&self.context.quarantine, &self.context.servers);
@@ -42,8 +44,8 @@
 
     fn on_failure(self, err: &BodyError) {
         match err {
-            // Nothing is wrong with the connection. Dropped unread it is closed, and the server can
-            // tell that nobody waits.
+            // Nothing is wrong with the connection. Dropped unread, it is closed, and the server
+            // can tell that nobody waits.
             BodyError::DeadlinePassed => {}
             _ => self.fail(),
         }
--- a/components/proxy/src/peers.rs
+++ b/components/proxy/src/peers.rs
@@ -1,4 +1,5 @@
-//! Connections to the guards of other daemons.
+//! Connections to the guards of other daemons: one HTTP/2 connection to each, opened on demand,
+//! with pings that detect a peer that has gone silent.
 
 use std::{
     collections::HashMap,
@@ -29,68 +30,69 @@
     body::ProxyBody,
     call::{GuardCall, GuardToken},
     clock::{process_now, transit_now, whole_micros},
-    sockets::watch_silence,
+    sockets::probe_opened,
 };
 
-/// Time for a connection to another instance. Five round trips between regions; an instance that
-/// is gone answers nothing at all.
+/// Time for a connection to another instance to open. Five round trips between regions; an
+/// instance that is gone answers nothing at all.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time between pings while requests are in flight. An instance that lost its power sends no reset;
+/// Time between pings while requests are in flight. An instance that lost power sends no reset;
 /// without pings each request to it would wait for its whole deadline.
 const PING_INTERVAL: Duration = Duration::from_secs(2);
-/// Time until a ping counts as lost.
+/// Time after which an unanswered ping counts as lost.
 const PING_TIMEOUT: Duration = Duration::from_secs(3);
-/// Idle time after which a connection is closed when another is opened, so that a daemon does not hold
-/// one to each other for good.
+/// Idle time after which a connection is closed when another is opened, so that a daemon does not
+/// keep a connection to each other daemon forever.
 const IDLE_LIMIT: Duration = Duration::from_secs(60);
 /// Largest head of an answer, in bytes.
 const MAX_HEAD_BYTES: u32 = 64 * 1024;
-/// Bytes in flight of one answer. Bounds what a slow caller holds in memory here, and what a large
-/// answer puts before short ones on a slow connection: 18 ms at 7.5 Mbit/s. Within a region, where a round
-/// trip takes two milliseconds, it still lets 8 megabytes a second through.
+/// Bytes in flight of one answer. Bounds the memory that a slow caller occupies here, and the
+/// bytes of a large answer that delay short ones on a slow link: 18 ms at 7.5 Mbit/s. Within a
+/// region, where a round trip takes two milliseconds, it still allows 8 megabytes per second.
 const STREAM_WINDOW: u32 = 16 * 1024;
 /// Bytes in flight of all answers of one peer.
 const CONNECTION_WINDOW: u32 = 2 * 1024 * 1024;
 
-/// Departed callers' requests that are remembered, so that frames of answers which cross with their
-/// resets are dropped in silence. Those forgotten are answered with a reset each, which the library
-/// counts over the life of the connection and by default ends it at the thousandth, with all
-/// requests on it; that count is switched off towards daemons, which are trusted.
+/// Requests of departed callers that are remembered, so that frames of answers that cross with
+/// their resets are ignored. For a forgotten request the library answers each frame with a reset,
+/// counts these resets over the life of the connection, and by default closes the connection at
+/// the thousandth, with all requests on it. That count is disabled towards daemons, which are
+/// trusted.
 const REMEMBERED_RESETS: usize = 1024;
 
 /// Connections that are tried for one request: one that may have ended unnoticed, and a new one. A
 /// request that was sent is not sent again here.
 const MAX_CONNECTIONS_TRIED: u32 = 2;
 
-/// Why no connection to another daemon was had.
+/// Why there is no connection to another daemon.
 #[derive(Clone, Debug, Error)]
 pub(crate) enum PeerConnectError {
-    /// Nobody listens there, or nobody can be reached.
-    #[error("not connected: {0}")]
+    /// The guard does not accept the connection or cannot be reached.
+    #[error("guard does not accept connections: {0}")]
     Refused(Arc<io::Error>),
-    /// No answer in time.
-    #[error("not connected in time")]
+    /// The connection did not open in time.
+    #[error("connection did not open in time")]
     Timeout,
     /// The connection failed before anything was sent.
     #[error("connection ended: {0}")]
     Ended(Arc<hyper::Error>),
     /// Each connection was closed as soon as it was open.
-    #[error("connections are closed at once")]
+    #[error("connections are closed as soon as they are open")]
     Closed,
 }
 
 /// Why a request to another daemon has no answer.
 #[derive(Debug, Error)]
 pub(crate) enum PeerError {
-    /// Nothing of it was sent.
+    /// No byte of the request was sent.
     #[error(transparent)]
     Unsent(PeerConnectError),
-    /// It may have been sent.
+    /// The request may have been sent.
     #[error(transparent)]
     Lost(hyper::Error),
 }
 
-/// A connection to one guard.
+/// An open connection to one guard.
 #[derive(Clone)]
 struct PeerConnection {
     sender: SendRequest<ProxyBody>,
@@ -99,11 +101,11 @@
 
 type ConnectionFuture = Shared<BoxFuture<'static, Result<PeerConnection, PeerConnectError>>>;
 
-/// A connection that is open or being opened.
+/// A connection that is open or being opened, shared by the requests to one guard.
 #[derive(Clone)]
 struct SharedConnection {
     connection: ConnectionFuture,
-    /// Microsecond on the process's clock at which it was last asked for.
+    /// Time of the last use, in microseconds on the process's clock.
     used_us: Arc<AtomicU64>,
 }
 
@@ -122,11 +124,11 @@
         Self { connections: Arc::default(), token }
     }
 
-    /// Sends a request to a guard and gives the head of its answer.
+    /// Sends a request to a guard and returns the head of its answer.
     ///
     /// # Errors
     ///
-    /// Returns a [`PeerError`], which tells whether anything was sent.
+    /// Returns a [`PeerError`], which states whether anything was sent.
     pub(crate) async fn send(
         &self,
         mut request: Request<ProxyBody>,
@@ -138,7 +140,7 @@
         let mut ended = PeerConnectError::Closed;
         for _ in 0..MAX_CONNECTIONS_TRIED {
             let asked_at = Instant::now();
-            let shared = self.shared(guard);
+            let shared = self.connection_to(guard);
             let connection =
                 shared.connection.clone().await.inspect_err(|_| self.remove(guard, &shared));
             let mut connection = connection.map_err(PeerError::Unsent)?;
@@ -165,7 +167,7 @@
     }
 
     /// Returns the connection to a guard, which is opened if there is none.
-    fn shared(&self, guard: &Authority) -> SharedConnection {
+    fn connection_to(&self, guard: &Authority) -> SharedConnection {
         if let Some(shared) = self.connections.load().get(guard) {
             shared.touch();
             return shared.clone();
@@ -178,21 +180,24 @@
             connections
         });
         match before.get(guard) {
-            // Another request has begun to open one meanwhile.
+            // Another request has started to open one meanwhile.
             Some(shared) => shared.clone(),
             None => {
-                // Goes on when the request that asked for it ends: others wait for it too.
+                // Continues when the request that asked for it ends, because others wait for it
+                // too.
                 tokio::spawn(new.connection.clone());
                 new
             }
         }
     }
 
-    /// Removes a connection that is no longer of use, unless another has taken its place.
+    /// Removes a connection that is no longer usable, unless another has replaced it.
     fn remove(&self, guard: &Authority, shared: &SharedConnection) {
         self.connections.rcu(|connections| {
             let mut connections = ConnectionMap::clone(connections);
-            if connections.get(guard).is_some_and(|held| held.connection.ptr_eq(&shared.connection))
+            if connections
+                .get(guard)
+                .is_some_and(|current| current.connection.ptr_eq(&shared.connection))
             {
                 connections.remove(guard);
             }
@@ -209,6 +214,7 @@
         shared
     }
 
+    /// Records a use now.
     fn touch(&self) {
         self.used_us.store(whole_micros(process_now()), Ordering::Relaxed);
     }
@@ -225,10 +231,11 @@
     parts.scheme = Some(http::uri::Scheme::HTTP);
     parts.authority = Some(guard.clone());
     parts.path_and_query.get_or_insert_with(|| http::uri::PathAndQuery::from_static("/"));
-    *request.uri_mut() = Uri::from_parts(parts).expect("scheme, authority and path are there");
+    *request.uri_mut() = Uri::from_parts(parts).expect("scheme, authority and path are set");
     *request.version_mut() = http::Version::HTTP_2;
 }
 
+/// Opens an HTTP/2 connection to a guard.
 async fn open_connection(guard: Authority) -> Result<PeerConnection, PeerConnectError> {
     let began = transit_now();
     let connect = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(guard.as_str())).await;
@@ -238,7 +245,7 @@
     let opening = LinkOpening { began, took: transit_now().saturating_sub(began) };
     // A small request must not wait for the acknowledgement of the one before.
     stream.set_nodelay(true).map_err(|err| PeerConnectError::Refused(Arc::new(err)))?;
-    watch_silence(&stream);
+    probe_opened(&stream);
     let (sender, connection) = http2::Builder::new(TokioExecutor::new())
         .timer(TokioTimer::new())
         .initial_stream_window_size(STREAM_WINDOW)
@@ -253,7 +260,7 @@
         .map_err(|err| PeerConnectError::Ended(Arc::new(err)))?;
     tokio::spawn(async move {
         if let Err(err) = connection.await {
-            log::debug!("proxy: a connection to {guard} ended: {err}.");
+            log::debug!("proxy: the connection to guard {guard} ended: {err}.");
         }
     });
     Ok(PeerConnection { sender, opening })
--- a/components/proxy/src/pool.rs
+++ b/components/proxy/src/pool.rs
@@ -1,4 +1,5 @@
-//! Connections to the local backend server.
+//! Connections to the local backend server: limited in number, opened at a bounded pace, and
+//! reused only after an answer was read completely.
 
 use std::{
     net::SocketAddr,
@@ -15,35 +16,35 @@
 use thiserror::Error;
 use tokio::{net::TcpStream, sync::Notify};
 
-use crate::{body::ProxyBody, clock::process_now, sockets::watch_silence};
+use crate::{body::ProxyBody, clock::process_now, sockets::probe_opened};
 
 /// Time for a connection to open. The server is on the same instance: it answers in a fraction of
-/// a millisecond or is not there.
+/// a millisecond or is not running.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Largest head of an answer, in bytes.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// Why no connection was had. Nothing was sent.
+/// Why there is no connection. Nothing was sent.
 #[derive(Debug, Error)]
 pub(crate) enum ConnectError {
-    /// The server does not accept.
-    #[error("server does not accept: {0}")]
+    /// The server does not accept connections.
+    #[error("server does not accept connections: {0}")]
     Refused(#[from] std::io::Error),
-    /// The server does not accept in time.
-    #[error("server does not accept in time")]
+    /// The server does not accept a connection in time.
+    #[error("server does not accept a connection in time")]
     Timeout,
     /// The connection failed before use.
     #[error("connection failed: {0}")]
     Handshake(#[from] hyper::Error),
 }
 
-/// A connection that takes one request at a time.
+/// Sending half of a connection that carries one request at a time.
 pub(crate) type ServerSender = SendRequest<ProxyBody>;
 
 /// A connection to send a request on.
 pub(crate) struct AcquiredSender {
     pub(crate) sender: ServerSender,
-    /// How long it had been idle, none for one that was opened just now.
+    /// How long it was idle; `None` if it was just opened.
     pub(crate) idle: Option<Duration>,
 }
 
@@ -61,8 +62,9 @@
 
 /// Connections to one process of the local backend server.
 ///
-/// A connection returns here only after its answer was read to the end. One that a caller left is
-/// dropped and so closed: bytes of the old answer still in it would go to the next caller.
+/// A connection returns to the pool only after its answer was read to the end. One that a caller
+/// left is dropped and so closed, because bytes of the old answer still in it would go to the next
+/// caller.
 pub(crate) struct ServerPool {
     address: SocketAddr,
     state: Mutex<PoolState>,
@@ -78,12 +80,12 @@
         Self { address, state: Mutex::new(state), returned: Notify::new() }
     }
 
-    /// Returns an idle connection that is trusted for the request, or opens one, paced and within the
-    /// server's limit.
+    /// Returns an idle connection that is trusted for the request, or opens one, at the allowed
+    /// pace and within the server's limit.
     ///
     /// # Errors
     ///
-    /// Returns a [`ConnectError`] if the server takes no connection.
+    /// Returns a [`ConnectError`] if the server accepts no connection.
     pub(crate) async fn acquire(
         self: &Arc<Self>,
         is_repeatable: bool,
@@ -96,7 +98,8 @@
                 }
                 let verdict = state.pacer.ask(process_now());
                 if verdict == ConnectVerdict::Full && !state.idle.is_empty() {
-                    // The oldest is not trusted either, and makes room for a new one.
+                    // The oldest connection is not trusted either; it is closed to allow a new
+                    // one.
                     drop(state.idle.remove(0));
                 }
                 verdict
@@ -114,12 +117,12 @@
         }
     }
 
-    /// Records that a connection was found dead that had been idle for a time.
+    /// Records that a connection had been closed by the server within the given idle time.
     pub(crate) fn record_stale(&self, idle: Duration) {
         self.lock().trust.note_stale(idle, process_now());
     }
 
-    /// Takes a connection back whose answer was read to its end.
+    /// Returns a connection to the pool whose answer was read to its end.
     pub(crate) fn release(self: &Arc<Self>, mut sender: ServerSender) {
         let pool = self.clone();
         // The connection's own task sees the end of the answer a moment later than its reader.
@@ -144,7 +147,7 @@
         state.idle.clear();
     }
 
-    /// Returns the number of connections that are open.
+    /// Returns the number of open connections.
     pub(crate) fn open_count(&self) -> u32 {
         self.lock().pacer.open_count()
     }
@@ -156,13 +159,13 @@
     }
 
     async fn open(self: &Arc<Self>) -> Result<ServerSender, ConnectError> {
-        // Counts the connection out however this ends, also when the caller leaves meanwhile.
+        // Uncounts the connection however this ends, also when the caller leaves meanwhile.
         let open = OpenConnection { pool: self.clone() };
         let connect = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address));
         let stream = connect.await.map_err(|_| ConnectError::Timeout)??;
         // A small request must not wait for the acknowledgement of the one before.
         stream.set_nodelay(true)?;
-        watch_silence(&stream);
+        probe_opened(&stream);
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(MAX_HEAD_BYTES)
             .handshake(TokioIo::new(stream))
@@ -191,13 +194,14 @@
 }
 
 impl PoolState {
-    /// Returns the connection used last, so that those not needed grow old and close.
+    /// Returns the connection used last, so that connections that are not needed age and are
+    /// closed.
     fn take_idle(&mut self, is_repeatable: bool) -> Option<AcquiredSender> {
         let limit = self.trust.limit(is_repeatable, process_now());
         while let Some(last) = self.idle.pop() {
             let idle = last.since.elapsed();
             match last.sender.is_ready() {
-                // All others have waited for longer still.
+                // All others have been idle for longer still.
                 true if idle >= limit => {
                     self.idle.push(last);
                     return None;
--- a/components/proxy/src/quarantine.rs
+++ b/components/proxy/src/quarantine.rs
@@ -1,4 +1,5 @@
-//! Requests held back because they crashed servers, as all daemons know them.
+//! Quarantine of requests that crash servers, shared by all daemons. Without it, a caller that
+//! repeats such a request would crash one server after the other.
 
 use std::{
     sync::{
@@ -19,18 +20,20 @@
     local::{GuardedServer, LocalServers},
 };
 
-/// Time after the first broken connection in which the others of a dead server break too. They are
-/// on the same instance, so it takes well under a millisecond; the rest is for a busy machine.
+/// Time after the first broken connection in which the other connections of a dead server break
+/// too. They are on the same instance, so it takes well under a millisecond; the rest allows for a
+/// busy machine.
 const CRASH_CHECK_DELAY: Duration = Duration::from_millis(20);
-/// Broken connections that tell a server's end even if another accepts in its place already.
+/// Number of broken connections that prove a server's end, even if another process already accepts
+/// in its place.
 const MIN_CRASH_BREAKS: usize = 2;
 
-/// Suspects and convicted requests of the whole fleet, as far as this daemon has heard.
+/// Suspect and quarantined requests of the whole fleet, as far as this daemon knows.
 pub struct QuarantineBoard {
     table: Mutex<QuarantineTable>,
-    /// Whether any request is held, so that the common request takes no lock.
+    /// Whether there is any record, so that the usual request takes no lock.
     has_records: AtomicBool,
-    /// Counts changes, so that a sender knows when there is news.
+    /// Counts changes, so that a sender knows when there are new records.
     revision: AtomicU64,
 }
 
@@ -70,12 +73,12 @@
         self.revision.load(Ordering::Acquire)
     }
 
-    /// Returns the number of requests held.
+    /// Returns the number of requests recorded.
     pub fn len(&self) -> usize {
         self.lock().len()
     }
 
-    /// Returns whether no request is held.
+    /// Returns whether no request is recorded.
     pub fn is_empty(&self) -> bool {
         !self.has_records.load(Ordering::Acquire)
     }
@@ -88,15 +91,15 @@
         }
     }
 
-    /// Records that a request ran to its end. Skipped while another thread has the table: a
-    /// missed success costs a suspect one more trial, a wait would cost every request.
+    /// Records that a request ran to its end. Skipped while another thread has the table: a missed
+    /// success costs a suspect one more trial, while waiting would delay every request.
     pub(crate) fn record_success(&self, fingerprint: Fingerprint) {
         if let Ok(mut table) = self.table.try_lock() {
             table.record_success(fingerprint, unix_time());
         }
     }
 
-    /// Records a server's death with the requests it had.
+    /// Records a server's crash with the requests that it was running.
     pub(crate) fn record_crash(&self, server: &str, requests: &[InFlightRequest]) {
         let in_flight: Vec<Fingerprint> =
             requests.iter().map(|request| request.fingerprint).collect();
@@ -109,6 +112,7 @@
         self.change(|table| table.record_crash(&report));
     }
 
+    /// Applies a change to the table and updates the revision.
     fn change(&self, change: impl FnOnce(&mut QuarantineTable)) {
         let mut table = self.lock();
         table.expire(unix_time());
@@ -122,11 +126,11 @@
     }
 }
 
-/// Finds out, after a connection to a server broke or was refused, whether the server died, and if so holds the
-/// requests it had as suspects.
+/// Checks in the background, after a connection to a server broke or was refused, whether the
+/// server died, and if so records the requests it was running as suspects.
 ///
-/// One broken connection alone may be the server's own choice, as when a handler fails. A server
-/// that died accepts no connection, and all its connections break at once.
+/// One broken connection alone may be the server's own choice, for example when a handler fails. A
+/// server that died accepts no connection, and all its connections break at once.
 pub(crate) fn check_for_crash(
     board: Arc<QuarantineBoard>,
     servers: Arc<LocalServers>,
@@ -141,7 +145,11 @@
             server.gate.broken_count() >= MIN_CRASH_BREAKS && server.pool.open_count() == 0;
         if all_broke || !server.pool.is_accepting().await {
             let in_flight = server.gate.take_in_flight();
-            log::warn!("guard: server {} died with {} requests.", server.id, in_flight.len());
+            log::warn!(
+                "guard: server {} crashed while running {} requests; they are suspects now.",
+                server.id,
+                in_flight.len()
+            );
             board.record_crash(&server.id, &in_flight);
             servers.remove(&server.id);
         } else {
--- a/components/proxy/src/receive.rs
+++ b/components/proxy/src/receive.rs
@@ -1,4 +1,5 @@
-//! Uploads on their way over the instance's link.
+//! Receives the bodies of requests over the instance's link. A body is received before its request
+//! occupies a slot, so that a slow link does not keep the server idle.
 
 use std::sync::{
     Arc,
@@ -14,11 +15,11 @@
     upload::{BodyPrefix, read_prefix},
 };
 
-/// Counts a request until its body is here, or it is given up.
+/// Counts a request as incoming until its body has arrived or the request is abandoned.
 pub(crate) struct IncomingCount<'a>(&'a AtomicU32);
 
 impl<'a> IncomingCount<'a> {
-    /// Counts one more.
+    /// Adds one to the count.
     pub(crate) fn new(count: &'a AtomicU32) -> Self {
         count.fetch_add(1, Ordering::AcqRel);
         Self(count)
@@ -31,12 +32,13 @@
     }
 }
 
-/// Takes the body of a request off the link, in its turn, so that the server's slot is not taken
-/// while it comes. Of one that is larger than is kept, the rest follows while the server reads it.
+/// Receives the body of a request when the scheduler allows it, so that the server's slot is not
+/// taken meanwhile. Of a body larger than is kept in memory, the rest follows while the server
+/// reads it.
 ///
 /// # Errors
 ///
-/// Returns the [`BodyError`] of a body that broke off. The server was sent nothing.
+/// Returns the [`BodyError`] of a body that broke off. Nothing was sent to the server.
 pub(crate) async fn receive_body(
     request: Request<ProxyBody>,
     scheduler: &Arc<TransferScheduler>,
--- a/components/proxy/src/serve.rs
+++ b/components/proxy/src/serve.rs
@@ -30,7 +30,7 @@
     guard::handle_peer_request,
     headers::is_nested,
     outcome::RefusalKind,
-    sockets::watch_accepted,
+    sockets::probe_accepted,
 };
 
 /// Pause after a failed accept, which usually means that no file descriptor is left.
@@ -252,7 +252,7 @@
         };
         // Small answers must not wait for the peer's delayed acknowledgement.
         let _ = stream.set_nodelay(true);
-        watch_accepted(&stream);
+        probe_accepted(&stream);
         let (handle, drain_state) = (handle.clone(), drain_state.clone());
         let service = service_fn(move |request| {
             let answer = answer_or_refuse(&handle, &drain_state, request, peer);
--- a/components/proxy/src/sockets.rs
+++ b/components/proxy/src/sockets.rs
@@ -1,39 +1,40 @@
-//! Finding out that a connection has gone silent.
+//! Detection of connections that have gone silent.
 //!
-//! A peer that lost its power, a cut link or a middle box that forgot a connection sends no reset. A
-//! request on such a connection would wait for its whole deadline, and the next one on the same
-//! connection again. Short keep-alive probes end it within seconds, on idle connections too, so that
-//! a request that may repeat is tried elsewhere while its caller still waits.
+//! A peer that lost power, a cut link or a middlebox that dropped a connection sends no reset. A
+//! request on such a connection would wait for its whole deadline, and so would the next one on
+//! it. Short keep-alive probes end the connection within seconds, also while it is idle, so that a
+//! request that may repeat is retried elsewhere while its caller still waits.
 
 use std::time::Duration;
 
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 
-/// Idle time before the first probe, and time between probes, on connections that this daemon opens. A
-/// daemon of a fleet of 76 holds one to each other, so that shorter pauses would cost more packets than
-/// the requests on them.
+/// Idle time before the first probe, and time between probes, on connections that this daemon
+/// opens. A daemon in a fleet of 76 has one to each other, so shorter intervals would cost more
+/// packets than the requests on them.
 const PROBE_INTERVAL: Duration = Duration::from_secs(2);
-/// The same on connections that others open. They find out by themselves whether their connection
-/// works; here probes only free what a peer without power has left behind.
+/// The same on connections that others open. The other side detects by itself whether its
+/// connection works; here probes only release what a peer without power has left behind.
 const ACCEPTED_INTERVAL: Duration = Duration::from_secs(10);
-/// Probes without an answer that end a connection: one lost packet does not.
+/// Unanswered probes after which a connection is closed, so that one lost packet does not close
+/// it.
 const PROBES: u32 = 2;
-/// Time without an acknowledgement after which sent bytes count as lost. Above the pause of a peer
-/// that is stopped for a moment, below what callers wait for an answer.
+/// Time without an acknowledgement after which sent bytes count as lost. Longer than the pause of
+/// a peer that is stopped for a moment, shorter than callers wait for an answer.
 const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(2_500);
 
-/// Sets probes on a connection that was opened here.
-pub(crate) fn watch_silence(stream: &TcpStream) {
+/// Enables probes on a connection that was opened here.
+pub(crate) fn probe_opened(stream: &TcpStream) {
     set_probes(stream, PROBE_INTERVAL);
 }
 
-/// Sets probes on a connection that was accepted here.
-pub(crate) fn watch_accepted(stream: &TcpStream) {
+/// Enables probes on a connection that was accepted here.
+pub(crate) fn probe_accepted(stream: &TcpStream) {
     set_probes(stream, ACCEPTED_INTERVAL);
 }
 
-/// Sets probes. A system that lacks one of the options works without.
+/// Enables probes. On a system that lacks one of the options the connection works without.
 fn set_probes(stream: &TcpStream, interval: Duration) {
     let keepalive =
         TcpKeepalive::new().with_time(interval).with_interval(interval).with_retries(PROBES);
@@ -42,6 +43,6 @@
         .set_tcp_keepalive(&keepalive)
         .and_then(|()| socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT)));
     if let Err(err) = set {
-        log::debug!("proxy: no keep-alive probes on a connection: {err}.");
+        log::debug!("proxy: cannot enable keep-alive probes on a connection: {err}.");
     }
 }
--- a/components/proxy/src/table.rs
+++ b/components/proxy/src/table.rs
@@ -1,4 +1,6 @@
-//! The immutable table that requests are routed by.
+//! The immutable table by which requests are routed. Each change of the configuration or the
+//! members builds a new table that replaces the old one as a whole, so that a request never sees a
+//! route without its service.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -28,10 +30,10 @@
 
 use crate::clock::stable_hash;
 
-/// Time after the start of this daemon in which servers it hears of count as warm. Most of them
-/// have run for long; taking all for cold would send each the same trickle.
+/// Time after the start of this daemon in which newly known servers count as warm. Most of them
+/// have run for long; treating all as cold would send each the same small share.
 const STARTUP_WINDOW: Duration = Duration::from_secs(10);
-/// Age of such a server, above any warm-up.
+/// Age assumed for such a server, above any warm-up.
 const WARM_AGE: Duration = Duration::from_secs(3600);
 
 new_key_type! {
@@ -39,10 +41,10 @@
     pub struct ServiceKey;
 }
 
-/// The table in force, swapped whole.
+/// The current table, replaced as a whole.
 pub type SharedTable = Arc<ArcSwap<RouteTable>>;
 
-/// Which daemon a table is for.
+/// The daemon that a table is for.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TablePlace {
     /// The daemon.
@@ -51,27 +53,27 @@
     pub data_centre: DataCentre,
     /// Its region.
     pub region: String,
-    /// How requests are placed and tried again.
+    /// How requests are placed and retried.
     pub tuning: TableTuning,
 }
 
-/// How requests are placed and tried again, the same for all services.
+/// How requests are placed and retried, the same for all services.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TableTuning {
-    /// Placing.
+    /// Placement settings.
     pub placement: PlacementSettings,
-    /// Trying again.
+    /// Retry settings.
     pub retry: RetrySettings,
 }
 
-/// A daemon whose backend server takes new work for a service.
+/// A daemon whose backend server accepts new work for a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TableEndpoint {
     /// The daemon beside the server.
     pub proxy: ProxyId,
     /// The server's process.
     pub server: Arc<str>,
-    /// Where the daemon takes requests for the server.
+    /// Address at which the daemon accepts requests for the server.
     pub guard: Authority,
     /// Whether it is the daemon that the table is for.
     pub is_own: bool,
@@ -82,19 +84,19 @@
 pub struct TableService {
     /// Name of the service.
     pub name: Arc<str>,
-    /// Endpoints that take new work.
+    /// Endpoints that accept new work.
     pub endpoints: HashMap<EndpointId, TableEndpoint>,
-    /// How requests are placed among them.
+    /// Placement of requests among them.
     pub(crate) placement: Arc<PlacementTable>,
-    /// Retries the service may still be sent.
+    /// Budget of retries to the service.
     pub(crate) budget: Arc<RetryBudget>,
-    /// The part of them that may follow a server's failure.
+    /// The part of it that may follow a server's failure.
     pub(crate) failure_budget: Arc<RetryBudget>,
-    /// Whether the budget was empty when last asked, so that the log tells of each change once.
+    /// Whether the budget was empty at the last check, so that each change is logged once.
     is_budget_empty: Arc<AtomicBool>,
 }
 
-/// A service that takes a part of a route's requests, by weight.
+/// A service that receives a part of a route's requests, by weight.
 type RoutePart = (ServiceKey, u32);
 
 #[derive(Clone, Debug)]
@@ -102,34 +104,35 @@
     setting: RouteSetting,
     team: TeamKey,
     parts: Vec<RoutePart>,
-    /// Requests divided so far, from a random start.
+    /// Number of requests so far, from a random start.
     counter: Arc<AtomicU64>,
 }
 
-/// Routes by host, each list with the longest_match prefix first.
+/// Routes by host, each list with the longest prefix first.
 #[derive(Clone, Debug, Default)]
 struct RouteMap {
-    /// Those that name a host, in lower case.
+    /// Routes that name a host, in lower case.
     named: HashMap<String, Vec<TableRoute>>,
-    /// Those for any host.
+    /// Routes for any host.
     any: Vec<TableRoute>,
 }
 
-/// Routes, services and endpoints of one moment.
+/// Routes, services and endpoints at one moment.
 ///
-/// Routes hold keys into the table's own services, so none can point at a service it lacks.
+/// Routes hold keys into the table's own services, so none can refer to a service that the table
+/// lacks.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     version: Version,
-    /// The configuration that the table was built from.
+    /// Configuration that the table was built from.
     trees: BTreeMap<TeamName, Arc<TeamTree>>,
     services: SlotMap<ServiceKey, TableService>,
-    /// Shared with the tables of the same configuration that were built before.
+    /// Shared with earlier tables of the same configuration.
     routes: Arc<RouteMap>,
     limits: Option<LimitSetting>,
 }
 
-/// The route that a request takes.
+/// The route of a request.
 pub struct RouteMatch<'a> {
     /// The route's setting.
     pub setting: &'a RouteSetting,
@@ -140,15 +143,16 @@
 }
 
 impl RouteTable {
-    /// Builds the table of a configuration and of the members as they are believed to be, at `now`.
+    /// Builds the table of a configuration and of the members as they are believed to be, at
+    /// `now`.
     ///
-    /// Where the configuration is that of the table before, its routes are kept and not built anew.
-    /// In a rolling restart the members change ten times a second, and building two thousand routes
-    /// each time took a small instance's processor from its callers; splits would begin anew too, and
-    /// miss their weights.
+    /// If the configuration is the one of the previous table, the routes are kept and not built
+    /// anew. In a rolling restart the members change ten times a second, and building two thousand
+    /// routes each time took so much of a small instance's processor that its callers were
+    /// delayed; splits would also restart and miss their weights.
     ///
-    /// What requests have shown of a server goes over from the table before to the same process of
-    /// it only.
+    /// Observations about a server are taken over from the previous table for the same process
+    /// only.
     pub fn build<'a>(
         before: &Self,
         snapshot: &ConfigSnapshot,
@@ -191,38 +195,38 @@
         Self { version: snapshot.version(), trees, services, routes, limits }
     }
 
-    /// Returns whether the table was built from this very configuration.
+    /// Returns whether the table was built from exactly this configuration.
     fn is_built_from(&self, snapshot: &ConfigSnapshot) -> bool {
-        let is_same =
-            |(previous, given): (&Arc<TeamTree>, &Arc<TeamTree>)| Arc::ptr_eq(previous, given);
+        let is_same = |(own, given): (&Arc<TeamTree>, &Arc<TeamTree>)| Arc::ptr_eq(own, given);
         self.version == snapshot.version()
             && self.trees.len() == snapshot.trees.len()
             && self.trees.values().zip(snapshot.trees.values()).all(is_same)
     }
 
-    /// Returns the version of the configuration the table was built from.
+    /// Returns the version of the configuration that the table was built from.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// Returns the bounds on callers, where the configuration sets any.
+    /// Returns the limits on callers, if the configuration sets any.
     pub fn limits(&self) -> Option<&LimitSetting> {
         self.limits.as_ref()
     }
 
-    /// Lists the services.
+    /// Returns the services.
     pub fn services(&self) -> impl Iterator<Item = &TableService> {
         self.services.values()
     }
 
-    /// Finds the route of a request: the longest_match prefix, a named host before any host.
+    /// Returns the route of a request: the one with the longest prefix, a named host before any
+    /// host.
     pub fn find(&self, host: Option<&str>, path: &str) -> Option<RouteMatch<'_>> {
         let host = host.map(str::to_ascii_lowercase);
         let bare = host.as_deref().and_then(|host| host.rsplit_once(':')).map(|(name, _)| name);
         let of_host = |host: Option<&str>| longest_match(self.routes.named.get(host?)?, path);
         let named = of_host(host.as_deref()).or_else(|| of_host(bare));
         let any = longest_match(&self.routes.any, path);
-        // On equal prefixes the route that names the host holds.
+        // On equal prefixes the route that names the host wins.
         let route = match (named, any) {
             (Some(named), Some(any)) if any.setting.prefix.len() > named.setting.prefix.len() => {
                 any
@@ -235,17 +239,18 @@
 }
 
 impl TableRoute {
-    /// Returns the service whose counter it is, in the proportion of the weights.
+    /// Returns the service that receives the next request, in proportion to the weights.
     ///
-    /// Multiples of the golden ratio fall evenly on any interval, so a part has its share of every
-    /// few dozen requests already, where independent draws would be off by a tenth and more.
+    /// Multiples of the golden ratio are evenly spread over any interval, so a part gets its share
+    /// of every few dozen requests already, where independent draws would deviate by a tenth and
+    /// more.
     fn pick_service(&self) -> Option<ServiceKey> {
-        const GOLDEN: u64 = 0x9e37_79b9_7f4a_7c15;
+        const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
         if let [(service, _)] = self.parts[..] {
             return Some(service);
         }
         let total: u64 = self.parts.iter().map(|(_, weight)| u64::from(*weight)).sum();
-        let counter = self.counter.fetch_add(1, Ordering::Relaxed).wrapping_mul(GOLDEN);
+        let counter = self.counter.fetch_add(1, Ordering::Relaxed).wrapping_mul(GOLDEN_RATIO);
         // The upper half of a product of two 64-bit numbers: a point below the total.
         let mut point = ((u128::from(counter) * u128::from(total)) >> 64) as u64;
         for (service, weight) in &self.parts {
@@ -259,21 +264,23 @@
 }
 
 impl TableService {
-    /// Records whether the retry budget was found empty.
+    /// Records whether the retry budget is empty, and logs each change.
     pub(crate) fn record_budget_state(&self, is_budget_empty: bool) {
         match self.is_budget_empty.swap(is_budget_empty, Ordering::Relaxed) {
             was if was == is_budget_empty => {}
-            false => log::warn!("proxy: the retry budget of {} is empty.", self.name),
-            true => log::info!("proxy: the retry budget of {} is paid in again.", self.name),
+            false => log::warn!("proxy: the retry budget of service {} is empty.", self.name),
+            true => {
+                log::info!("proxy: the retry budget of service {} is available again.", self.name)
+            }
         }
     }
 
-    /// Returns the whole retries that the service may still be sent.
+    /// Returns the number of whole retries left in the budget.
     pub fn retries_left(&self) -> u64 {
         self.budget.left()
     }
 
-    /// Returns the state of each endpoint, by its daemon.
+    /// Returns the placement state of each endpoint, by its daemon.
     pub fn endpoint_states(
         &self,
         now: Duration,
@@ -288,10 +295,10 @@
 
 type FoundEndpoints<'a> = BTreeMap<&'a str, Vec<(&'a MemberRecord, &'a EndpointRecord)>>;
 
-/// Gathers the endpoints that take work, by service.
+/// Returns the endpoints that accept work, by service.
 ///
-/// A suspected daemon counts only for a service that has no other: it is likely gone, but a request
-/// that would fail without it loses nothing by the try.
+/// A suspected daemon counts only for a service that has no other: it is likely gone, but a
+/// request that would fail without it loses nothing by the attempt.
 fn find_endpoints<'a>(members: impl Iterator<Item = &'a MemberRecord>) -> FoundEndpoints<'a> {
     let mut alive = FoundEndpoints::new();
     let mut suspect = FoundEndpoints::new();
@@ -313,6 +320,7 @@
     alive
 }
 
+/// Builds a service, with the budgets and observations of its previous table.
 fn build_service(
     previous: Option<&TableService>,
     name: &str,
@@ -351,6 +359,7 @@
     }
 }
 
+/// Creates the endpoint of a member; `None` if its guard's address is not a valid authority.
 fn make_endpoint(
     member: &MemberRecord,
     endpoint: &EndpointRecord,
@@ -365,6 +374,7 @@
     Some((endpoint_id(member), endpoint))
 }
 
+/// Creates the record of an endpoint for placement.
 fn place_record(
     member: &MemberRecord,
     endpoint: &EndpointRecord,
@@ -376,8 +386,8 @@
         _ if member.region == place.region => EndpointDistance::SameRegion,
         _ => EndpointDistance::OtherRegion,
     };
-    // The daemon's process is a part: a guard that leaves says so for good, and the next daemon
-    // beside the same server must not be taken for it.
+    // The daemon's process is included: a guard that leaves announces this for good, and the next
+    // daemon beside the same server must not be mistaken for it.
     let daemon = member.incarnation.to_le_bytes();
     PlacedRecord {
         id: endpoint_id(member),
@@ -388,10 +398,12 @@
     }
 }
 
+/// Returns the id of a member's endpoint, the same on every daemon.
 fn endpoint_id(member: &MemberRecord) -> EndpointId {
     stable_hash(&[member.proxy.as_bytes()])
 }
 
+/// Builds the routes of a configuration, by host.
 fn collect_routes(
     snapshot: &ConfigSnapshot,
     keys: &BTreeMap<&ServiceName, ServiceKey>,
@@ -399,8 +411,8 @@
     let mut routes = RouteMap::default();
     for (path, body) in snapshot.settings() {
         let SettingBody::Route(setting) = body else { continue };
-        // Validation refuses a route without its service; skipping it keeps the table sound even
-        // if that ever failed.
+        // Validation refuses a route without its service; skipping it keeps the table consistent
+        // even if validation failed to.
         let parts: Option<Vec<RoutePart>> = setting
             .targets()
             .map(|(service, weight)| Some((*keys.get(service)?, weight)))
@@ -423,7 +435,7 @@
     routes
 }
 
-/// Returns bounds that keep both of two.
+/// Returns limits that satisfy both.
 fn strictest(one: LimitSetting, other: LimitSetting) -> LimitSetting {
     LimitSetting {
         max_head_bytes: one.max_head_bytes.min(other.max_head_bytes),
@@ -433,12 +445,14 @@
     }
 }
 
-/// Returns the route with the longest_match prefix that covers a path.
+/// Returns the route with the longest prefix that covers a path, from a list with the longest
+/// first.
 fn longest_match<'a>(routes: &'a [TableRoute], path: &str) -> Option<&'a TableRoute> {
     routes.iter().find(|route| is_prefix(&route.setting.prefix, path))
 }
 
-/// Matches at segment borders: `/board` covers `/board` and `/board/1` but not `/boards`.
+/// Returns whether a prefix covers a path. Prefixes match at segment borders: `/board` covers
+/// `/board` and `/board/1` but not `/boards`.
 fn is_prefix(prefix: &str, path: &str) -> bool {
     let rest = path.strip_prefix(prefix);
     rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('/') || prefix.ends_with('/'))
--- a/components/proxy/src/times.rs
+++ b/components/proxy/src/times.rs
@@ -1,18 +1,18 @@
-//! How long requests take, by service, outcome and stage.
+//! Histograms of request times, by service, outcome and stage.
 
 use std::time::Duration;
 
 use prometheus::{HistogramOpts, HistogramVec, Registry};
 
-/// Upper bounds of the buckets in seconds: from a cache's answer to a route's longest_match timeout, each
-/// about twice the one before.
+/// Upper bounds of the buckets in seconds: from an answer out of a cache to the longest timeout of
+/// a route, each about twice the previous one.
 const BUCKETS: [f64; 14] =
     [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.6, 0.8, 1.5, 3.0, 6.0];
 
-/// A part of a request's time.
+/// Stage of a request whose time is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimeStage {
-    /// From the arrival at the daemon of entry to the head of the answer.
+    /// From the arrival at the entry daemon to the head of the answer.
     Whole,
     /// In the guard's queue.
     Queue,
@@ -45,15 +45,17 @@
         );
         let options = options.buckets(BUCKETS.to_vec());
         let seconds = HistogramVec::new(options, &["service", "outcome", "stage"])
-            .expect("a fixed name with fixed labels is sound");
+            .expect("the fixed name and labels are valid");
         let registry = Registry::new();
-        registry.register(Box::new(seconds.clone())).expect("the first of its name");
+        registry
+            .register(Box::new(seconds.clone()))
+            .expect("the registry holds no other metric of this name");
         Self { registry, seconds }
     }
 }
 
 impl RequestTimes {
-    /// Adds a time.
+    /// Adds the time of one request.
     pub fn observe(&self, service: &str, outcome: &str, stage: TimeStage, took: Duration) {
         let labels = [service, outcome, stage.as_str()];
         self.seconds.with_label_values(&labels).observe(took.as_secs_f64());
--- a/components/proxy/src/tracked_body.rs
+++ b/components/proxy/src/tracked_body.rs
@@ -1,4 +1,5 @@
-//! A body whose end is told to whoever holds something until then.
+//! A body that reports its end to a handler, and that fails at its deadline. Slots, connections
+//! and counts are released by it when an answer really ends, not when its head was sent.
 
 use std::{
     future::Future,
@@ -12,16 +13,16 @@
 
 use crate::body::BodyError;
 
-/// What is held until the end of a body. Dropped without a word when whoever reads it leaves.
+/// Handles the end of a body. It is dropped without a call if the reader leaves before the end.
 pub(crate) trait BodyEndHandler {
-    /// Ends the handler of a body that was read whole.
+    /// Called when the body was read completely.
     fn on_complete(self);
 
-    /// Ends the handler of a body that broke off.
+    /// Called when the body failed.
     fn on_failure(self, err: &BodyError);
 }
 
-/// A body that keeps something held until its end or its deadline.
+/// A body that keeps a handler until its end or its deadline.
 pub(crate) struct TrackedBody<B, H> {
     inner: B,
     deadline: Option<Pin<Box<Sleep>>>,
@@ -33,7 +34,7 @@
     B: Body<Data = Bytes> + Unpin,
     H: BodyEndHandler,
 {
-    /// Wraps a body, which must end by the deadline where there is one.
+    /// Wraps a body, which must end by the deadline if there is one.
     pub(crate) fn new(inner: B, handler: H, deadline: Option<Instant>) -> Self {
         let deadline = deadline.map(|deadline| Box::pin(sleep_until(deadline)));
         let mut body = Self { inner, deadline, handler: Some(handler) };
@@ -61,6 +62,7 @@
         err
     }
 
+    /// Returns whether the deadline has passed before the end of the body.
     fn is_late(&mut self, context: &mut Context<'_>) -> bool {
         let deadline = self.deadline.as_mut().filter(|_| self.handler.is_some());
         deadline.is_some_and(|deadline| deadline.as_mut().poll(context).is_ready())
@@ -87,7 +89,7 @@
         let frame = ready!(Pin::new(&mut self.inner).poll_frame(context));
         Poll::Ready(match frame {
             Some(Ok(frame)) => {
-                // A body of a known length is not read beyond its last byte.
+                // A body of known length is not read beyond its last byte.
                 self.finish_if_ended();
                 Some(Ok(frame))
             }
--- a/components/proxy/src/transfers.rs
+++ b/components/proxy/src/transfers.rs
@@ -1,4 +1,6 @@
-//! Large answers of the local backend server and uploads to it, which take turns on the instance's link.
+//! Scheduling of large answers of the local backend server, and of uploads to it, on the
+//! instance's link. Large bodies are sent one after the other, so that the link does not deliver
+//! all of them late.
 
 use std::{
     future::Future,
@@ -18,10 +20,11 @@
 
 use crate::{clock::process_now, gate::AdmissionGate};
 
-/// Size from which a body takes turns: several of the packets' worth that a short answer is.
+/// Size in bytes from which a body is scheduled: several times the packets that a short answer
+/// takes.
 const LARGE_BYTES: u64 = 32 * 1024;
 
-/// Returns whether a body takes turns. One of unknown length may be large.
+/// Returns whether a body is scheduled. One of unknown length may be large.
 pub(crate) fn is_large(body: &impl Body) -> bool {
     body.size_hint().upper().is_none_or(|size| size >= LARGE_BYTES)
 }
@@ -32,21 +35,21 @@
     wakers: SecondaryMap<TransferId, Waker>,
 }
 
-/// The large bodies that go one way between the link and one server.
+/// Schedules the large bodies that pass in one direction between the link and one server.
 #[derive(Default)]
 pub(crate) struct TransferScheduler {
     state: Mutex<SchedulerState>,
-    /// Is told how many answers wait, since more of them would only wait longer.
+    /// Told how many answers wait, because further ones would only wait longer.
     gate: Option<Arc<AdmissionGate>>,
 }
 
 impl TransferScheduler {
-    /// Creates the scheduler of the answers to what a gate admits.
+    /// Creates the scheduler of the answers to the requests that a gate admits.
     pub(crate) fn for_answers(gate: Arc<AdmissionGate>) -> Self {
         Self { gate: Some(gate), ..Self::default() }
     }
 
-    /// Returns what the link carries before a body that comes now.
+    /// Returns the bytes that the link carries before a body that arrives now.
     pub(crate) fn ahead(&self) -> LinkAhead {
         self.lock().queue.ahead(process_now())
     }
@@ -55,17 +58,19 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn request_turn(&self, id: TransferId, waker: &Waker) -> TransferTurn {
+    /// Returns whether a body may proceed; otherwise its waker is kept.
+    fn request_permission(&self, id: TransferId, waker: &Waker) -> TransferTurn {
         self.change(|state| {
-            let turn = state.queue.ask(id, process_now());
-            match turn {
+            let permission = state.queue.ask(id, process_now());
+            match permission {
                 TransferTurn::Go => drop(state.wakers.remove(id)),
                 TransferTurn::Wait(_) => drop(state.wakers.insert(id, waker.clone())),
             }
-            turn
+            permission
         })
     }
 
+    /// Removes a body, and counts its transfer if it was complete.
     fn end(&self, id: TransferId, is_whole: bool) {
         self.change(|state| {
             if is_whole {
@@ -76,31 +81,32 @@
         });
     }
 
-    /// Changes the scheduler, wakes whoever has a turn now, and tells the gate.
+    /// Applies a change, wakes the next body that may proceed, and tells the gate how many answers
+    /// wait.
     fn change<T>(&self, change: impl FnOnce(&mut SchedulerState) -> T) -> T {
         let mut state = self.lock();
         let before = state.queue.held_back();
         let changed = change(&mut state);
-        let held_back = state.queue.held_back();
+        let waiting = state.queue.held_back();
         let next = state.queue.next_ready(process_now()).and_then(|next| state.wakers.remove(next));
         drop(state);
         if let Some(waker) = next {
             waker.wake();
         }
         if let Some(gate) = &self.gate
-            && held_back != before
+            && waiting != before
         {
-            gate.set_waiting_answers(held_back);
+            gate.set_waiting_answers(waiting);
         }
         changed
     }
 }
 
-/// The transfer of one body in the scheduler, given back when dropped.
+/// The registration of one body at the scheduler, removed when dropped.
 struct ScheduledTransfer {
     scheduler: Arc<TransferScheduler>,
     id: TransferId,
-    /// Ends a wait when the turn of a body that stands still lapses.
+    /// Ends a wait when the permission of a stalled body expires.
     wait_timer: Option<Pin<Box<Sleep>>>,
     is_whole: bool,
 }
@@ -111,7 +117,7 @@
     }
 }
 
-/// A body that waits for its turn where it is large.
+/// A body that, if large, waits for the scheduler's permission before each frame.
 pub(crate) struct ScheduledBody<B> {
     inner: B,
     transfer: Option<ScheduledTransfer>,
@@ -134,9 +140,10 @@
 }
 
 impl ScheduledTransfer {
+    /// Completes when the body may proceed.
     fn poll_permission(&mut self, context: &mut Context<'_>) -> Poll<()> {
         loop {
-            match self.scheduler.request_turn(self.id, context.waker()) {
+            match self.scheduler.request_permission(self.id, context.waker()) {
                 TransferTurn::Go => {
                     self.wait_timer = None;
                     return Poll::Ready(());
--- a/components/proxy/src/upload.rs
+++ b/components/proxy/src/upload.rs
@@ -1,4 +1,6 @@
-//! The body of a caller's request, and whether it can be sent again.
+//! The body of a caller's request, and whether it can be sent again. Small bodies are kept in
+//! memory for retries; larger ones are streamed, so that uploads do not exhaust the daemon's
+//! memory.
 
 use std::{
     sync::{
@@ -15,40 +17,40 @@
 
 use crate::body::{BodyError, CheckedBody, PrefixedBody, ProxyBody, whole_body};
 
-/// Bytes of a body that are kept so that it can be sent again. Covers nearly all queries and
+/// Largest body that is kept so that it can be sent again, in bytes. Covers nearly all queries and
 /// confirmations; at a thousand requests in flight it is 64 MB at the very worst, and documents
 /// are streamed instead.
 const REPLAY_BYTES: usize = 64 * 1024;
 
-/// Longest time for which a refused body is read, so that its sender learns of the refusal.
+/// Longest time for which a refused body is read, so that its sender receives the refusal.
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The body of a request, by whether it is at hand.
+/// The body of a request, by whether it is completely in memory.
 pub(crate) enum UploadBody {
-    /// All of it is here and can be sent any number of times.
+    /// The whole body, which can be sent any number of times.
     Whole(Bytes),
-    /// It is larger than is kept, and can be sent once.
+    /// A body larger than [`REPLAY_BYTES`], which can be sent once.
     Stream {
-        /// The first part of it.
+        /// Its first part.
         prefix: Bytes,
-        /// All of it, until it is sent.
+        /// The whole body, until it is sent.
         body: Option<ProxyBody>,
         /// Set when it turns out to be larger than the settings allow.
-        overrun: Arc<AtomicBool>,
+        is_too_large: Arc<AtomicBool>,
     },
 }
 
-/// Why a body could not be taken.
+/// Why a body could not be read.
 #[derive(Debug)]
 pub(crate) enum UploadError {
     /// It is larger than the settings allow.
     TooLarge,
-    /// The caller's connection failed, or it did not end in time.
+    /// The caller's connection failed, or the body did not end in time.
     Lost,
 }
 
 impl UploadBody {
-    /// Reads a body, or its first part if it is large.
+    /// Reads a body, or its first part if it is large. `limit` is the largest body in bytes.
     pub(crate) async fn read(
         request: Request<Incoming>,
         limit: u64,
@@ -69,7 +71,7 @@
         (parts, read.unwrap_or(Err(UploadError::Lost)))
     }
 
-    /// Returns the body for an attempt, or nothing if it was sent and cannot be again.
+    /// Returns the body for an attempt, or `None` if it was sent and cannot be sent again.
     pub(crate) fn take(&mut self) -> Option<ProxyBody> {
         match self {
             Self::Whole(bytes) => Some(whole_body(bytes.clone())),
@@ -77,16 +79,16 @@
         }
     }
 
-    /// Returns the bytes that a fingerprint is made over.
+    /// Returns the bytes that the request's fingerprint covers.
     pub(crate) fn sample(&self) -> &[u8] {
         match self {
             Self::Whole(bytes) | Self::Stream { prefix: bytes, .. } => bytes,
         }
     }
 
-    /// Returns whether a body that is being sent has passed the allowed size.
+    /// Returns whether a body that is being sent has exceeded the allowed size.
     pub(crate) fn has_overrun(&self) -> bool {
-        matches!(self, Self::Stream { overrun, .. } if overrun.load(Ordering::Acquire))
+        matches!(self, Self::Stream { is_too_large, .. } if is_too_large.load(Ordering::Acquire))
     }
 
     /// Returns whether the body can be sent again.
@@ -94,7 +96,7 @@
         matches!(self, Self::Whole(_))
     }
 
-    /// Sets the length of a body whose sender gave it in chunks, now that it is known.
+    /// Sets the length of a body that arrived in chunks, now that it is known.
     pub(crate) fn set_length(&self, headers: &mut http::HeaderMap) {
         if let Self::Whole(bytes) = self
             && !bytes.is_empty()
@@ -104,10 +106,11 @@
     }
 }
 
-/// Reads and drops a body that is refused, for a bounded time and length.
+/// Reads and drops a refused body, for a bounded time and length.
 ///
-/// A caller that is still sending when the connection closes gets a reset, often before it has read
-/// the answer, and does not learn why. One that asked first has sent nothing and needs no such wait.
+/// A caller that is still sending when the connection closes receives a reset, often before it has
+/// read the answer, and does not learn the reason. A caller that sent `Expect` has sent no body
+/// yet and needs no such wait.
 async fn discard(mut body: CheckedBody, limit: u64) {
     let read = async {
         let mut length = 0;
@@ -119,19 +122,23 @@
         }
     };
     if tokio::time::timeout(DISCARD_TIMEOUT, read).await.is_err() {
-        log::debug!("proxy: a refused body took too long to read.");
+        log::debug!("proxy: stopped reading the body of a refused request: it took too long.");
     }
 }
 
-/// What was read of a body.
+/// The part of a body that was read.
 pub(crate) enum BodyPrefix {
-    /// All of it.
+    /// The whole body.
     Whole(Bytes),
-    /// More than is kept, with more to come.
+    /// More than [`REPLAY_BYTES`], with more to come.
     Part(Bytes),
 }
 
-/// Reads a body to its end, or until more is read than is kept.
+/// Reads a body to its end, or until more than [`REPLAY_BYTES`] are read.
+///
+/// # Errors
+///
+/// Returns the error of the body.
 pub(crate) async fn read_prefix<B>(body: &mut B) -> Result<BodyPrefix, B::Error>
 where
     B: Body<Data = Bytes> + Unpin,
@@ -146,6 +153,7 @@
     Ok(BodyPrefix::Part(read.freeze()))
 }
 
+/// Reads a body, or its first part if it is large, and counts the rest against the limit.
 async fn read_first(body: CheckedBody, limit: u64) -> Result<UploadBody, UploadError> {
     let limit = usize::try_from(limit).unwrap_or(usize::MAX);
     let mut rest = Limited::new(body, limit);
@@ -155,15 +163,15 @@
         Err(err) if err.is::<LengthLimitError>() => return Err(UploadError::TooLarge),
         Err(_) => return Err(UploadError::Lost),
     };
-    let overrun = Arc::new(AtomicBool::new(false));
-    let noted = overrun.clone();
+    let is_too_large = Arc::new(AtomicBool::new(false));
+    let flag = is_too_large.clone();
     let rest = rest.map_err(move |err| match err.downcast::<BodyError>() {
         Ok(err) => *err,
         Err(_) => {
-            noted.store(true, Ordering::Release);
+            flag.store(true, Ordering::Release);
             BodyError::TooLarge
         }
     });
     let body = PrefixedBody::new(prefix.clone(), rest).boxed_unsync();
-    Ok(UploadBody::Stream { prefix, body: Some(body), overrun })
+    Ok(UploadBody::Stream { prefix, body: Some(body), is_too_large })
 }
