--- a/components/proxy/src/claim.rs
+++ b/components/proxy/src/claim.rs
@@ -63,9 +63,9 @@
     /// Claims a request for an attempt, by the deadline.
     async fn claim(&self, key: &ClaimKey, attempt: AttemptId, deadline: Instant) -> ClaimVerdict;
 
-    /// Records how an attempt ended. Also called for an attempt whose claim was given up
-    /// before its verdict was known, then with [`ClaimOutcome::NotRun`]: an implementation must
-    /// take that for a claim it never saw, and must not let that claim be granted later.
+    /// Records how an attempt ended. Also called for an attempt whose claim was abandoned before
+    /// its verdict was known, then with [`ClaimOutcome::NotRun`]: an implementation must treat
+    /// this as a claim that it never saw, and must not grant that claim later.
     async fn settle(&self, key: &ClaimKey, attempt: AttemptId, outcome: ClaimOutcome);
 }
 
--- a/components/proxy/tests/common/mod.rs
+++ b/components/proxy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Daemons' request paths and backend servers of one test, in one process.
+//! The request paths of several daemons and their backend servers, in one process.
 
 #![allow(dead_code)] // Each test file uses a part of it.
 
@@ -36,7 +36,7 @@
 
 pub type TestClient = Client<HttpConnector, Full<Bytes>>;
 
-/// What a test sets of its fleet.
+/// Settings of a test's fleet.
 pub struct FleetPlan {
     /// Whether each daemon has a backend server, in order.
     pub servers: Vec<bool>,
@@ -49,7 +49,7 @@
 }
 
 impl FleetPlan {
-    /// An entry without a server and a number of daemons with one.
+    /// Creates the plan of one entry daemon without a server and `servers` daemons with one.
     pub fn new(servers: usize) -> Self {
         let servers = std::iter::once(false).chain(std::iter::repeat_n(true, servers));
         Self {
@@ -99,7 +99,7 @@
         fleet
     }
 
-    /// Starts a server beside a daemon and gives its index.
+    /// Starts a server beside a daemon and returns the server's index.
     pub async fn start_server(&mut self, daemon: usize, server: &str) -> usize {
         let local = SocketAddr::from(([127, 0, 0, 1], 0));
         let entry = self.daemons[daemon].entry;
@@ -136,7 +136,7 @@
         });
     }
 
-    /// Brings the membership news to all daemons.
+    /// Rebuilds the tables of all daemons from the current members.
     pub fn rebuild(&self) {
         let members: Vec<MemberRecord> = self.daemons.iter().map(TestDaemon::record).collect();
         for daemon in &self.daemons {
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Has the others reach a daemon's guard at another address.
+    /// Changes the address at which the other daemons reach a daemon's guard.
     pub fn move_guard(&mut self, daemon: usize, guard: SocketAddr) {
         self.daemons[daemon].guard = guard;
         self.rebuild();
@@ -163,7 +163,7 @@
         self.daemons[0].entry
     }
 
-    /// Counts how often a tagged request was begun by any server.
+    /// Returns how often the servers began a tagged request.
     pub fn runs(&self, tag: &str) -> u64 {
         self.backends.iter().map(|server| *server.counts().runs.get(tag).unwrap_or(&0)).sum()
     }
@@ -173,8 +173,8 @@
     }
 }
 
-/// Accepts connections for `target` and hands each, with one to there, to `carry`, which is to pass
-/// bytes on between them.
+/// Accepts connections for `target` and passes each, with a new one to the target, to `carry`,
+/// which copies bytes between them.
 pub async fn relay<F>(
     target: SocketAddr,
     carry: impl Fn(TcpStream, TcpStream) -> F + Send + 'static,
@@ -275,7 +275,7 @@
     ConfigSnapshot { root, trees }
 }
 
-/// An answer, with the error that its body ended in if it was cut.
+/// An answer, with the error of its body if it was cut.
 #[derive(Debug)]
 pub struct TestAnswer {
     pub status: StatusCode,
@@ -329,17 +329,17 @@
     send(client, entry, "GET", path, &[], "").await
 }
 
-/// Waits for a condition.
+/// Waits until a condition holds.
 pub async fn wait_for(what: &str, mut is_met: impl FnMut() -> bool) {
     let begin = Instant::now();
     while !is_met() {
-        assert!(begin.elapsed() < WAIT_BOUND, "waited in vain for {what}");
+        assert!(begin.elapsed() < WAIT_BOUND, "timed out waiting for {what}");
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
 
-/// Sends a request over a connection of its own whose answer is never read.
-pub async fn send_and_stop(entry: SocketAddr, path: &str) -> TcpStream {
+/// Sends a request over a connection of its own and never reads the answer.
+pub async fn send_unread(entry: SocketAddr, path: &str) -> TcpStream {
     use tokio::io::AsyncWriteExt;
     let mut stream = TcpStream::connect(entry).await.expect("a connection");
     let head = format!("GET {path} HTTP/1.1\r\nHost: test\r\n\r\n");
--- a/components/proxy/tests/crash_quarantine.rs
+++ b/components/proxy/tests/crash_quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that crash their server, sent again and again.
+//! Requests that crash their server and are sent again.
 
 mod common;
 
@@ -7,42 +7,42 @@
 use common::{FleetPlan, TestAnswer, TestClient, TestFleet, get, http1, send, wait_for};
 use sk_proxy::{RefusalKind, RequestOutcome};
 
-const DEADLY: &str = "/deadly?fault=crash";
+const CRASHING: &str = "/deadly?fault=crash";
 
-/// Brings each crashed server back as a new process, as a supervisor does.
-async fn restart_dead(fleet: &mut TestFleet, daemons: usize, deaths: &mut u32) {
+/// Restarts each crashed server as a new process, as a supervisor does.
+async fn restart_crashed(fleet: &mut TestFleet, daemons: usize, crashes: &mut u32) {
     for daemon in 1..=daemons {
         if fleet.daemons[daemon].servers.endpoints().is_empty() {
-            *deaths += 1;
-            fleet.start_server(daemon, &format!("server-{daemon}-{deaths}")).await;
+            *crashes += 1;
+            fleet.start_server(daemon, &format!("server-{daemon}-{crashes}")).await;
         }
     }
     fleet.rebuild();
 }
 
-/// Carries the news of crashes to all daemons.
-fn share(fleet: &TestFleet) {
+/// Sends the records of crashes to all daemons.
+fn share_records(fleet: &TestFleet) {
     for from in &fleet.daemons {
         let entries = from.board.take_changed();
         fleet.daemons.iter().for_each(|to| to.board.merge(&entries));
     }
 }
 
-async fn send_deadly(client: &TestClient, fleet: &TestFleet) -> TestAnswer {
-    send(client, fleet.entry(), "POST", DEADLY, &[], "body").await
+async fn send_crashing(client: &TestClient, fleet: &TestFleet) -> TestAnswer {
+    send(client, fleet.entry(), "POST", CRASHING, &[], "body").await
 }
 
-/// A request crashes every server that runs it, and its caller sends it again each time. After the
-/// second death it is refused at every daemon, with an answer that says why and invites no resend.
-/// Sent to the servers directly, it fells all of them.
+/// Guards against a request that crashes every server that runs it, sent again by its caller each
+/// time. After the second crash it is refused at every daemon, with an answer that states the
+/// reason and invites no resend. Sent to the servers directly, it crashes all of them.
 #[tokio::test(flavor = "multi_thread")]
 async fn resent_crash() {
     let daemons = 4;
     let mut fleet = TestFleet::start(FleetPlan::new(daemons)).await;
     let client = http1();
-    let (mut deaths, mut refused) = (0, 0);
+    let (mut crashes, mut refused) = (0, 0);
     for _ in 0..8 {
-        let answer = send_deadly(&client, &fleet).await;
+        let answer = send_crashing(&client, &fleet).await;
         match answer.reason() {
             Some(RefusalKind::Quarantined) => {
                 refused += 1;
@@ -52,50 +52,50 @@
             _ => {
                 assert_eq!(answer.outcome(), Some(RequestOutcome::Unknown), "{answer:?}");
                 let empty = || fleet.daemons[1..].iter().any(|d| d.servers.endpoints().is_empty());
-                wait_for("the death to be noticed", empty).await;
+                wait_for("the crash to be noticed", empty).await;
             }
         }
-        share(&fleet);
-        restart_dead(&mut fleet, daemons, &mut deaths).await;
+        share_records(&fleet);
+        restart_crashed(&mut fleet, daemons, &mut crashes).await;
     }
-    assert_eq!((deaths, refused), (2, 6));
+    assert_eq!((crashes, refused), (2, 6));
     let answer = get(&client, fleet.entry(), "/innocent").await;
     assert_eq!(answer.outcome(), Some(RequestOutcome::Ran));
 
-    let mut naive_deaths = 0;
+    let mut direct_crashes = 0;
     for backend in &fleet.backends[fleet.backends.len() - 2..] {
-        let target = format!("http://{}{DEADLY}", backend.address()).parse().expect("target");
-        naive_deaths += u32::from(client.get(target).await.is_err());
+        let target = format!("http://{}{CRASHING}", backend.address()).parse().expect("target");
+        direct_crashes += u32::from(client.get(target).await.is_err());
     }
-    assert_eq!(naive_deaths, 2, "the naive way must show the harm");
+    assert_eq!(direct_crashes, 2, "sent directly, the request must crash every server");
 }
 
-/// Confirmations of others run on a server when a deadly request fells it. Their callers are told
-/// that the end is unknown, nobody runs them twice, and they are not held back: each may be sent
-/// again and then runs.
+/// Guards against other requests being quarantined that ran on a server when a request crashed it.
+/// Their callers are told that the outcome is unknown and nobody runs them twice, but each may be
+/// sent again and then runs.
 #[tokio::test(flavor = "multi_thread")]
-async fn innocent_neighbours() {
+async fn other_requests_released() {
     let mut fleet = TestFleet::start(FleetPlan::new(1)).await;
     let client = http1();
-    let neighbours: Vec<_> = (0..4)
+    let others: Vec<_> = (0..4)
         .map(|number| {
             let (client, entry) = (client.clone(), fleet.entry());
             let path = format!("/confirm/{number}?work_ms=700&tag=n{number}");
             tokio::spawn(async move { send(&client, entry, "POST", &path, &[], "").await })
         })
         .collect();
-    wait_for("neighbours to run", || fleet.backends[0].counts().running == 4).await;
-    let answer = send_deadly(&client, &fleet).await;
+    wait_for("other requests to run", || fleet.backends[0].counts().running == 4).await;
+    let answer = send_crashing(&client, &fleet).await;
     assert_eq!(answer.outcome(), Some(RequestOutcome::Unknown));
-    for (number, neighbour) in neighbours.into_iter().enumerate() {
-        let answer = neighbour.await.expect("call ends");
+    for (number, other) in others.into_iter().enumerate() {
+        let answer = other.await.expect("call ends");
         assert_eq!(answer.outcome(), Some(RequestOutcome::Unknown), "{answer:?}");
         assert_eq!(fleet.runs(&format!("n{number}")), 1);
     }
-    wait_for("the death to be noticed", || fleet.daemons[1].servers.endpoints().is_empty()).await;
+    wait_for("the crash to be noticed", || fleet.daemons[1].servers.endpoints().is_empty()).await;
     assert_eq!(fleet.daemons[1].board.len(), 5, "all that ran are suspects at first");
-    share(&fleet);
-    restart_dead(&mut fleet, 1, &mut 0).await;
+    share_records(&fleet);
+    restart_crashed(&mut fleet, 1, &mut 0).await;
     for number in 0..4 {
         let path = format!("/confirm/{number}?work_ms=700&tag=n{number}");
         let answer = send(&client, fleet.entry(), "POST", &path, &[], "").await;
@@ -103,43 +103,43 @@
     }
 }
 
-/// A caller sends a deadly request with a deadline so short that it has left before the server dies,
-/// and sends it again. The request is in flight no longer when the death is noticed, which is when
-/// the next request finds nobody listening. It is remembered for a moment and held back after the
-/// second death all the same.
+/// Guards against a crashing request escaping the quarantine because its deadline is so short that
+/// its caller leaves before the server dies. The request is no longer in flight when the crash is
+/// noticed, which happens when the next request finds no listener. It is remembered for a moment
+/// and quarantined after the second crash all the same.
 #[tokio::test(flavor = "multi_thread")]
 async fn departed_caller() {
     let mut fleet = TestFleet::start(FleetPlan::new(1)).await;
     let client = http1();
-    let hasty = [("x-sapphirekeel-deadline-ms", "300")];
+    let short_deadline = [("x-sapphirekeel-deadline-ms", "300")];
     let path = "/deadly?fault=crash&work_ms=500";
-    for death in 1..=2 {
-        let answer = send(&client, fleet.entry(), "POST", path, &hasty, "body").await;
+    for round in 1..=2 {
+        let answer = send(&client, fleet.entry(), "POST", path, &short_deadline, "body").await;
         assert_eq!(answer.reason(), Some(RefusalKind::DeadlinePassed), "{answer:?}");
         let dead = fleet.backends.last().expect("a server").address();
-        wait_for("the death", || std::net::TcpStream::connect(dead).is_err()).await;
+        wait_for("the crash", || std::net::TcpStream::connect(dead).is_err()).await;
         get(&client, fleet.entry(), "/innocent").await;
         let empty = || fleet.daemons[1].servers.endpoints().is_empty();
-        wait_for("the death to be noticed", empty).await;
-        restart_dead(&mut fleet, 1, &mut (death * 10)).await;
+        wait_for("the crash to be noticed", empty).await;
+        restart_crashed(&mut fleet, 1, &mut (round * 10)).await;
     }
     let answer = send(&client, fleet.entry(), "POST", path, &[], "body").await;
     assert_eq!(answer.reason(), Some(RefusalKind::Quarantined), "{answer:?}");
 }
 
-/// A server drops one connection, as when a handler fails, and goes on with the others. It did not
-/// die, so that no request is held back.
+/// Guards against a request being quarantined although its server did not die. The server drops
+/// one connection, as when a handler fails, and continues on the others.
 #[tokio::test(flavor = "multi_thread")]
-async fn lone_break() {
+async fn single_broken_connection() {
     let fleet = TestFleet::start(FleetPlan::new(1)).await;
     let client = http1();
     let (other, entry) = (client.clone(), fleet.entry());
     let neighbour = tokio::spawn(async move { get(&other, entry, "/neighbour?work_ms=500").await });
-    wait_for("the neighbour to run", || fleet.backends[0].counts().running == 1).await;
+    wait_for("another request to run", || fleet.backends[0].counts().running == 1).await;
     for _ in 0..3 {
         let answer = send(&client, entry, "POST", "/fails?fault=drop", &[], "").await;
         assert_eq!(answer.outcome(), Some(RequestOutcome::Unknown));
-        // Longer than a death takes to be noticed.
+        // Longer than a crash takes to be noticed.
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     assert!(fleet.daemons[1].board.is_empty());
--- a/components/proxy/tests/graceful_stop.rs
+++ b/components/proxy/tests/graceful_stop.rs
@@ -1,4 +1,4 @@
-//! Listeners that leave under load.
+//! Listeners that shut down under load.
 
 mod common;
 
@@ -14,8 +14,8 @@
 
 const DRAIN: Duration = Duration::from_secs(10);
 
-/// Callers send confirmations all the time while one guard's daemon stops. What it has is finished,
-/// what arrives later is refused as not run and placed elsewhere: no caller notices.
+/// Guards against callers noticing that a guard's daemon stops under load. Its requests are
+/// finished, and later ones are refused as not run and placed elsewhere.
 #[tokio::test(flavor = "multi_thread")]
 async fn guard_stops() {
     let mut fleet = TestFleet::start(FleetPlan::new(3)).await;
@@ -45,8 +45,9 @@
     tokio::join!(futures::future::join_all((0..4).map(caller)), stop);
 }
 
-/// The daemon that callers enter by stops. Answers in flight arrive whole, over both protocols, and
-/// the next caller is told by `Connection: close` to go elsewhere.
+/// Guards against requests being lost when the entry daemon stops. Answers in flight arrive
+/// complete over both protocols, and the next caller is asked by `Connection: close` to go
+/// elsewhere.
 #[tokio::test(flavor = "multi_thread")]
 async fn entry_stops() {
     let mut fleet = TestFleet::start(FleetPlan::new(2)).await;
@@ -78,7 +79,7 @@
     }
 }
 
-/// A request in flight outlives the bound of the shutdown, which then says so.
+/// Guards against a shutdown that reports success although a request in flight outlived its bound.
 #[tokio::test(flavor = "multi_thread")]
 async fn bound_passed() {
     let mut fleet = TestFleet::start(FleetPlan::new(1)).await;
@@ -90,8 +91,8 @@
     call.abort();
 }
 
-/// Takes the only slot of the only server, by another daemon than the first, and has a request wait
-/// for it that entered by the first.
+/// Occupies the only slot of the only server through another daemon than the first, and lets a
+/// request that entered at the first daemon wait for it.
 async fn start_waiting(fleet: &TestFleet) -> (JoinHandle<TestAnswer>, JoinHandle<TestAnswer>) {
     let running = ask(fleet.daemons[1].entry, "/slow?work_ms=3000&tag=running");
     wait_for("work", || fleet.runs("running") == 1).await;
@@ -124,10 +125,10 @@
     running.abort();
 }
 
-/// Guards against the server beside a daemon that stops starting what it can't finish, and against
-/// callers who learn only at the end that their requests did not run.
+/// Guards against a stopping daemon's server starting work that it cannot finish, and against
+/// callers learning only at the end that their requests did not run.
 #[tokio::test(flavor = "multi_thread")]
-async fn queue_handed_back() {
+async fn queue_refused_at_once() {
     let fleet = TestFleet::start(FleetPlan { slots: 1, ..FleetPlan::new(1) }).await;
     let (running, waiting) = start_waiting(&fleet).await;
     fleet.daemons[1].servers.refuse_waiting();
--- a/components/proxy/tests/keyed_claims.rs
+++ b/components/proxy/tests/keyed_claims.rs
@@ -21,8 +21,8 @@
 /// Keeps claims in memory, for all daemons of a test.
 #[derive(Default)]
 struct MemoryClaims {
-    held: Mutex<HashMap<ClaimKey, (AttemptId, ClaimOutcome)>>,
-    is_away: std::sync::atomic::AtomicBool,
+    claims: Mutex<HashMap<ClaimKey, (AttemptId, ClaimOutcome)>>,
+    is_unavailable: std::sync::atomic::AtomicBool,
     settled: AtomicU32,
 }
 
@@ -30,27 +30,27 @@
 impl ClaimGate for MemoryClaims {
     async fn claim(&self, key: &ClaimKey, attempt: AttemptId, _: Instant) -> ClaimVerdict {
         tokio::time::sleep(Duration::from_millis(2)).await;
-        if self.is_away.load(Ordering::SeqCst) {
+        if self.is_unavailable.load(Ordering::SeqCst) {
             return ClaimVerdict::Unavailable;
         }
-        let mut held = self.held.lock().expect("lock");
-        match held.get(key) {
+        let mut claims = self.claims.lock().expect("lock");
+        match claims.get(key) {
             Some((_, ClaimOutcome::Ran { status })) => ClaimVerdict::AlreadyRan { status: *status },
             Some(_) => ClaimVerdict::AlreadyClaimed,
             None => {
-                held.insert(key.clone(), (attempt, ClaimOutcome::Unknown));
+                claims.insert(key.clone(), (attempt, ClaimOutcome::Unknown));
                 ClaimVerdict::Granted
             }
         }
     }
 
     async fn settle(&self, key: &ClaimKey, attempt: AttemptId, outcome: ClaimOutcome) {
-        let mut held = self.held.lock().expect("lock");
-        let is_own = held.get(key).is_some_and(|(owner, _)| *owner == attempt);
+        let mut claims = self.claims.lock().expect("lock");
+        let is_own = claims.get(key).is_some_and(|(owner, _)| *owner == attempt);
         match outcome {
             _ if !is_own => {}
-            ClaimOutcome::NotRun => drop(held.remove(key)),
-            outcome => drop(held.insert(key.clone(), (attempt, outcome))),
+            ClaimOutcome::NotRun => drop(claims.remove(key)),
+            outcome => drop(claims.insert(key.clone(), (attempt, outcome))),
         }
         self.settled.fetch_add(1, Ordering::SeqCst);
     }
@@ -67,9 +67,9 @@
     send(&http1(), fleet.daemons[entry].entry, "POST", path, &headers, "body").await
 }
 
-/// A caller gets no answer to a reservation in time and sends it again, ten times at once and by
-/// different daemons. It runs once; the copies are told that it ran or may have. Without a key each
-/// copy runs.
+/// Guards against a reservation running twice that its caller sends again, ten times at once and
+/// through different daemons, because no answer came in time. It runs once, and the copies are
+/// told that it ran or may have run. Without a key each copy runs.
 #[tokio::test(flavor = "multi_thread")]
 async fn resent_copies() {
     let (fleet, claims) = start_claimed(3).await;
@@ -89,13 +89,13 @@
     assert_eq!(fleet.runs("once"), 1);
 
     let client = http1();
-    let naive = |_| send(&client, fleet.entry(), "POST", "/reserve?tag=naive", &[], "body");
-    join_all((0..10).map(naive)).await;
-    assert_eq!(fleet.runs("naive"), 10, "the naive way must show the harm");
+    let send_unkeyed = |_| send(&client, fleet.entry(), "POST", "/reserve?tag=naive", &[], "body");
+    join_all((0..10).map(send_unkeyed)).await;
+    assert_eq!(fleet.runs("naive"), 10, "without a key each copy must run");
 }
 
-/// The server does the work and its answer is lost. A resend is told that the end is unknown, and
-/// does not run, at whatever daemon it arrives.
+/// Guards against a resend running again whose first copy ran and lost its answer. The resend is
+/// told that the outcome is unknown, and does not run, at whatever daemon it arrives.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_reservation() {
     let (fleet, claims) = start_claimed(3).await;
@@ -110,10 +110,11 @@
     assert_eq!(fleet.runs("lost"), 1);
 }
 
-/// A server cannot be reached after its daemon has claimed the request. The claim is given back, so
-/// that the retry at another daemon is granted and the caller notices nothing.
+/// Guards against a claim blocking the retry of a request whose server could not be reached after
+/// the claim. The claim is released, the retry at another daemon is granted, and the caller
+/// notices nothing.
 #[tokio::test(flavor = "multi_thread")]
-async fn claim_given_back() {
+async fn claim_released() {
     let (mut fleet, _) = start_claimed(2).await;
     fleet.backends[0].kill().await;
     for number in 0..10 {
@@ -124,14 +125,15 @@
     }
 }
 
-/// The platform is away, or no claims are wired at all. A reservation is refused as not run: whether
-/// a copy ran elsewhere cannot be found out. Queries go on.
+/// Guards against a reservation running while the platform is unavailable or no claims are
+/// configured. It is refused as not run, because nobody can tell whether a copy ran elsewhere.
+/// Queries continue.
 #[tokio::test(flavor = "multi_thread")]
-async fn claims_away() {
+async fn claims_unavailable() {
     let (fleet, claims) = start_claimed(2).await;
-    claims.is_away.store(true, Ordering::SeqCst);
-    let unwired = TestFleet::start(FleetPlan::new(1)).await;
-    for fleet in [&fleet, &unwired] {
+    claims.is_unavailable.store(true, Ordering::SeqCst);
+    let unconfigured = TestFleet::start(FleetPlan::new(1)).await;
+    for fleet in [&fleet, &unconfigured] {
         let answer = send_keyed(fleet, 0, "/reserve?tag=away", "key-3").await;
         assert_eq!(answer.status.as_u16(), 503);
         assert_eq!(answer.reason(), Some(RefusalKind::ClaimsUnavailable));
@@ -140,13 +142,13 @@
         let answer = common::get(&http1(), fleet.entry(), "/query").await;
         assert_eq!(answer.status.as_u16(), 200);
     }
-    claims.is_away.store(false, Ordering::SeqCst);
+    claims.is_unavailable.store(false, Ordering::SeqCst);
     let answer = send_keyed(&fleet, 0, "/reserve?tag=away", "key-3").await;
-    assert_eq!(answer.status.as_u16(), 200, "comes back: {answer:?}");
+    assert_eq!(answer.status.as_u16(), 200, "granted again: {answer:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn strange_keys() {
+async fn invalid_keys() {
     let (fleet, _) = start_claimed(1).await;
     for key in ["caf\u{e9}", &"x".repeat(300)] {
         let answer = send_keyed(&fleet, 0, "/reserve", key).await;
--- a/components/proxy/tests/load_hints.rs
+++ b/components/proxy/tests/load_hints.rs
@@ -1,4 +1,4 @@
-//! What a guard says of its load, at entries that sent it little themselves.
+//! Load hints of a guard, at entry daemons that sent it few requests themselves.
 
 mod common;
 
@@ -14,8 +14,9 @@
     states[&fleet.daemons[1].name].share
 }
 
-/// Another daemon's callers fill a server. An entry that counted only its own requests would take
-/// the server for idle and send its callers into the queue there.
+/// Guards against an entry daemon placing its requests at a server that another daemon's callers
+/// keep busy. If it counted only its own requests, it would consider the server idle and send its
+/// callers into the queue there.
 #[tokio::test(flavor = "multi_thread")]
 async fn busy_elsewhere() {
     let fleet = TestFleet::start(FleetPlan::new(1)).await;
@@ -37,9 +38,9 @@
     for call in calls {
         assert_eq!(call.await.expect("call ends").status, 200);
     }
-    // A hint lags, so it must not hold for ever.
+    // A hint is outdated after a while, so it must expire.
     let begin = process_now();
-    wait_for("the hint to pass", || {
+    wait_for("the hint to expire", || {
         process_now() > begin + Duration::from_secs(1) && share(&fleet) >= idle
     })
     .await;
--- a/components/proxy/tests/own_answer.rs
+++ b/components/proxy/tests/own_answer.rs
@@ -11,7 +11,8 @@
 const CALLERS: u64 = 16;
 const ROUNDS: u32 = 40;
 
-/// Gives the tag that an answer's body was made for: it is repeated in the body's path.
+/// Sends a tagged request and checks that the answer is the one to it: the body's path repeats the
+/// tag.
 async fn call_tagged(client: &TestClient, fleet: &TestFleet, tag: &str, random: &mut StdRng) {
     let work = random.random_range(0..8);
     let size = if random.random_bool(0.3) { "&size=70000" } else { "" };
@@ -28,7 +29,7 @@
     };
     match answer.outcome() {
         Some(RequestOutcome::Ran) if size.is_empty() => {
-            assert_eq!(answer.json()["tag"], tag, "the answer of another caller");
+            assert_eq!(answer.json()["tag"], tag, "the answer to another request");
         }
         Some(RequestOutcome::Ran) => {
             assert_eq!(answer.body.expect("a whole body").len(), 70_000);
@@ -38,10 +39,10 @@
     }
 }
 
-/// Many callers share connections, and half of them leave at random moments: in the queue, while
-/// their request runs, in the middle of an answer. A connection with bytes of a departed caller's
-/// answer left in it would hand them to the next one, who would see another's reservation. Each
-/// answer here names its request, and none goes astray.
+/// Guards against a caller receiving another caller's answer. Many callers share connections, and
+/// half of them leave at random moments: in the queue, while their request runs, in the middle of
+/// an answer. A connection with bytes of a departed caller's answer left in it would deliver them
+/// to the next caller, who would see another's reservation.
 #[tokio::test(flavor = "multi_thread")]
 async fn leaving_callers() {
     let fleet = TestFleet::start(FleetPlan::new(3)).await;
--- a/components/proxy/tests/peer_links.rs
+++ b/components/proxy/tests/peer_links.rs
@@ -15,7 +15,7 @@
 use futures::future::join_all;
 use tokio::sync::watch;
 
-/// Carries connections to a guard, counts them, and ends all of them at each change of a switch.
+/// Relays connections to a guard, counts them, and closes all of them when told to.
 struct GuardRelay {
     address: SocketAddr,
     accepted: Arc<AtomicU32>,
@@ -64,14 +64,14 @@
 
 /// Guards against requests being lost on a connection that ended while nothing was in flight.
 #[tokio::test(flavor = "multi_thread")]
-async fn opened_again() {
+async fn reopened_connection() {
     let (fleet, relay) = start_relayed().await;
     let (entry, client) = (fleet.entry(), http1());
     for round in 1..=5 {
         assert_eq!(get(&client, entry, "/").await.status, 200, "round {round}");
         assert_eq!(relay.accepted(), round);
         relay.reset.send_replace(());
-        // Time for the end to arrive.
+        // Time for the close to arrive.
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
 }
--- a/components/proxy/tests/retry_rules.rs
+++ b/components/proxy/tests/retry_rules.rs
@@ -1,4 +1,4 @@
-//! What is tried again, what is not, and what the answer says of it.
+//! Which requests are retried, which are not, and what the answer states about it.
 
 mod common;
 
@@ -8,8 +8,9 @@
 use http::StatusCode;
 use sk_proxy::{RefusalKind, RequestOutcome};
 
-/// A server's process is gone and its daemon does not know yet. Nothing was sent to it, so that a
-/// confirmation may safely be placed at the other server: no caller notices.
+/// Guards against a caller noticing that a server's process is gone while its daemon does not know
+/// yet. Nothing was sent to that server, so even a confirmation may safely be placed at the other
+/// one.
 #[tokio::test(flavor = "multi_thread")]
 async fn server_unreachable() {
     let mut fleet = TestFleet::start(FleetPlan::new(2)).await;
@@ -23,9 +24,9 @@
     }
 }
 
-/// A server does the work of a confirmation, and its answer is lost on the way. Nobody can tell
-/// whether it ran: the caller hears so and no daemon sends it again. A client that blindly tries
-/// three times runs it three times.
+/// Guards against a confirmation being sent again that ran and lost its answer in transit. Nobody
+/// can tell whether it ran: the caller is told so and no daemon sends it again. A client that
+/// blindly sends it three times runs it three times.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_answer() {
     let fleet = TestFleet::start(FleetPlan::new(3)).await;
@@ -40,11 +41,11 @@
         let path = "/confirm?fault=drop&tag=naive";
         send(&client, fleet.entry(), "POST", path, &[], "body").await;
     }
-    assert_eq!(fleet.runs("naive"), 3, "the naive client must show the harm");
+    assert_eq!(fleet.runs("naive"), 3, "a client that resends blindly runs it each time");
 }
 
-/// The same loss of a query, which may run twice: it is placed again, at most twice, and in the end
-/// the answer says "unknown", since one of them may have run.
+/// The same loss of a query, which may run twice: it is placed again, at most twice, and in the
+/// end the answer is "unknown", because one of the attempts may have run.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_query() {
     let fleet = TestFleet::start(FleetPlan::new(4)).await;
@@ -53,11 +54,11 @@
     assert_eq!(fleet.runs("query"), 3);
     let path = "/again?fault=drop&tag=again";
     send(&http1(), fleet.entry(), "POST", path, &[], "body").await;
-    assert_eq!(fleet.runs("again"), 3, "the route says that it may run twice");
+    assert_eq!(fleet.runs("again"), 3, "the route allows it to run twice");
 }
 
-/// Every server loses its answers for a while, and all queries are sent again. Without a budget each
-/// daemon would triple the load on servers that are in trouble already.
+/// Guards against retries multiplying the load on failing servers. Every server loses its answers
+/// for a while, and all queries are retried; without a budget each daemon would triple the load.
 #[tokio::test(flavor = "multi_thread")]
 async fn retry_budget() {
     let fleet = TestFleet::start(FleetPlan::new(4)).await;
@@ -66,14 +67,14 @@
     for _ in 0..queries {
         get(&client, fleet.entry(), "/query?fault=drop&tag=storm").await;
     }
-    // At most 20 held at first, a tenth of the queries, and one a second.
+    // At most 20 in the budget at first, a tenth of the queries, and one per second.
     let extra = fleet.runs("storm").saturating_sub(queries);
     assert!(extra <= 20 + queries / 10 + 30, "{extra} retries for {queries} queries");
-    assert!(extra < 2 * queries, "the naive way makes two retries for each");
+    assert!(extra < 2 * queries, "without a budget each query is retried twice");
 }
 
-/// A body too large to keep was sent in part. It cannot be sent again, so the caller hears of the
-/// loss.
+/// Guards against a retry of a body too large to keep, of which a part was sent. It cannot be sent
+/// again, so the caller learns of the loss.
 #[tokio::test(flavor = "multi_thread")]
 async fn large_upload() {
     let fleet = TestFleet::start(FleetPlan::new(3)).await;
@@ -83,8 +84,9 @@
     assert_eq!(fleet.runs("large"), 1);
 }
 
-/// No daemon with a server is known. The caller hears at once that nothing ran and when to return,
-/// and callers are told different times.
+/// Guards against callers waiting, and returning all at once, when no daemon with a server is
+/// known. The caller learns at once that nothing ran and when to retry, and callers are given
+/// different times.
 #[tokio::test(flavor = "multi_thread")]
 async fn no_endpoint() {
     let fleet = TestFleet::start(FleetPlan::new(0)).await;
@@ -96,11 +98,12 @@
         assert!(answer.headers.contains_key("retry-after"));
         waits.insert(answer.headers["x-sapphirekeel-retry-after-ms"].clone());
     }
-    assert!(waits.len() > 10, "callers would return in step: {waits:?}");
+    assert!(waits.len() > 10, "callers would return at the same times: {waits:?}");
 }
 
-/// A server has been replaced at the same address and the entry does not know. The new process must
-/// not get what was placed by the old one's state; the request goes elsewhere as not run.
+/// Guards against a new process at an old address receiving requests that were placed by the state
+/// of the old process while the entry daemon does not know of the change. Such a request is
+/// refused as not run and goes elsewhere.
 #[tokio::test(flavor = "multi_thread")]
 async fn replaced_server() {
     let mut fleet = TestFleet::start(FleetPlan::new(2)).await;
@@ -122,9 +125,9 @@
     .await;
 }
 
-/// A server is paused, its announcements lapse, and it wakes as the same process. Requests that came
-/// meanwhile did not run. They must not mark it as leaving for good: it would stay idle until its
-/// next restart, and nobody would see why.
+/// Guards against a paused server staying idle until its next restart. Its announcements lapse,
+/// and it resumes as the same process; requests that arrived meanwhile did not run and must not
+/// mark it as leaving for good.
 #[tokio::test(flavor = "multi_thread")]
 async fn paused_server() {
     let fleet = TestFleet::start(FleetPlan::new(1)).await;
@@ -139,8 +142,8 @@
     assert_eq!(answer.status, StatusCode::OK, "{answer:?}");
 }
 
-/// A server answers after its caller's deadline. The caller hears "unknown" at the deadline, the
-/// late answer goes nowhere, and the next caller on the same connections gets its own.
+/// Guards against a late answer reaching the wrong caller. The caller is told "unknown" at its
+/// deadline, the late answer is dropped, and the next caller on the same connections gets its own.
 #[tokio::test(flavor = "multi_thread")]
 async fn late_answer() {
     let fleet = TestFleet::start(FleetPlan::new(1)).await;
@@ -157,13 +160,13 @@
     assert_eq!(fleet.runs("late"), 1);
 }
 
-/// Two routes lead to each other, and a call goes round. Without a bound it would go on until its
-/// deadline, with thousands more behind it.
+/// Guards against a call that loops between two routes. Without a bound on hops it would continue
+/// until its deadline, with thousands more behind it.
 #[tokio::test(flavor = "multi_thread")]
 async fn hop_bound() {
     let mut plan = FleetPlan::new(0);
     plan.servers = vec![true];
-    // All calls of the loop hold slots of one server, more than a cold one gives.
+    // All calls of the loop occupy slots of one server, more than a cold one allows.
     plan.limits.guard.cold_hold = 0.0;
     let fleet = TestFleet::start(plan).await;
     let answer = get(&http1(), fleet.entry(), "/loop?nest=6").await;
--- a/components/proxy/tests/slot_search.rs
+++ b/components/proxy/tests/slot_search.rs
@@ -1,4 +1,4 @@
-//! Looking for a free slot among many servers.
+//! Search for a free slot among many servers.
 
 mod common;
 
@@ -10,9 +10,9 @@
 
 const SERVERS: usize = 16;
 
-/// All servers of a large service are full. A request that asked each of them for a free slot before
-/// it queued would cost the fleet 32 messages, and every other request as well, at the time at which
-/// daemons have least room for them.
+/// Guards against a request asking every server of a large service for a free slot before it
+/// queues. With all servers full it would cost the fleet 32 messages, and every other request as
+/// well, when daemons have the least capacity for them.
 #[tokio::test(flavor = "multi_thread")]
 async fn many_full() {
     let order = PlacementOrder::Soonest;
@@ -20,8 +20,8 @@
     let tuning = TableTuning { placement, ..TableTuning::default() };
     let fleet = TestFleet::start(FleetPlan { slots: 1, tuning, ..FleetPlan::new(SERVERS) }).await;
     let (entry, client) = (fleet.entry(), http1());
-    // Other daemons' entries place what fills the servers, so that this one knows nothing. Some servers
-    // get two, of which one waits.
+    // Other daemons place the requests that fill the servers, so that this one knows nothing. Some
+    // servers get two, of which one waits.
     let filling: Vec<_> = (0..3 * SERVERS)
         .map(|number| {
             let (client, entry) = (client.clone(), fleet.daemons[1 + number % SERVERS].entry);
@@ -35,7 +35,7 @@
         let counts = fleet.daemons.iter().map(|daemon| daemon.counters.view());
         counts.map(|view| view.refused.get(name).copied().unwrap_or_default()).sum()
     };
-    // Until those that fill the servers have looked round themselves.
+    // Wait until the requests that fill the servers have finished their own search.
     let mut before = busy();
     loop {
         tokio::time::sleep(Duration::from_millis(200)).await;
@@ -44,11 +44,11 @@
             more => before = more,
         }
     }
-    assert!(is_full(), "nothing has ended meanwhile");
+    assert!(is_full(), "no request has ended meanwhile");
     let answer = get(&client, entry, "/").await;
-    assert_eq!(answer.status, 200, "it queues and is answered: {answer:?}");
-    let looks = busy() - before;
-    assert!((1..=4).contains(&looks), "{looks} looks");
+    assert_eq!(answer.status, 200, "the request queues and is answered: {answer:?}");
+    let busy_refusals = busy() - before;
+    assert!((1..=4).contains(&busy_refusals), "{busy_refusals} servers asked in vain");
     for filled in filling {
         // Some are refused where a queue is full.
         let answer = tokio::time::timeout(Duration::from_secs(20), filled).await;
--- a/components/proxy/tests/slots_freed.rs
+++ b/components/proxy/tests/slots_freed.rs
@@ -1,4 +1,4 @@
-//! Slots, queue and connections of a server, and callers that leave.
+//! Slots, queue and connections of a server, also when callers leave.
 
 mod common;
 
@@ -22,9 +22,9 @@
     }
 }
 
-/// Many more callers come at once than the server has slots. It never works on more than its slots
-/// nor holds more connections than its limit; a few wait; the others hear at once that they were
-/// not run. The same burst without a guard reaches the server whole.
+/// Guards against a burst overloading the server. It never works on more requests than its slots
+/// nor has more connections than its limit; a few requests wait, and the others are refused at
+/// once as not run. Without a guard the same burst reaches the server completely.
 #[tokio::test(flavor = "multi_thread")]
 async fn burst_refused() {
     let fleet = TestFleet::start(small_plan()).await;
@@ -49,16 +49,19 @@
     assert_eq!(counts.served, ran);
     assert!(counts.peak_running <= SLOTS && counts.peak_connections <= SLOTS, "{counts:?}");
 
-    let naive = |_| {
+    let send_directly = |_| {
         let (client, server) = (client.clone(), fleet.backends[0].address());
         async move { get(&client, server, "/naive").await }
     };
-    join_all((0..60).map(naive)).await;
-    assert!(fleet.backends[0].counts().peak_running > SLOTS, "the naive burst must show the harm");
+    join_all((0..60).map(send_directly)).await;
+    assert!(
+        fleet.backends[0].counts().peak_running > SLOTS,
+        "without a guard the burst must exceed the slots"
+    );
 }
 
-/// Callers give up while their requests run. Their slots are free at once and not after the work,
-/// or a few impatient callers would lock all others out.
+/// Guards against slots staying taken after callers left. They are free at once and not only after
+/// the work, because otherwise a few impatient callers would block all others.
 #[tokio::test(flavor = "multi_thread")]
 async fn caller_left() {
     let fleet = TestFleet::start(small_plan()).await;
@@ -82,11 +85,12 @@
     assert_eq!(view.in_flight, 0);
 }
 
-/// A herd of callers leaves at one moment, right after sending. All their requests share one
-/// connection, on which each departure is a reset. A listener that takes many resets for an attack
-/// ends the connection, and a bystander's request on it is lost.
+/// Guards against many callers that leave at one moment, right after sending, breaking a
+/// connection that they share. Each departure is a reset on it, and a listener that treats many
+/// resets as an attack closes the connection, by which another caller's request on it would be
+/// lost.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn leaving_herd() {
+async fn many_callers_left() {
     let fleet = TestFleet::start(small_plan()).await;
     let (client, entry) = (http2(), fleet.entry());
     let slow = client.clone();
@@ -106,8 +110,8 @@
     assert_eq!(answer.outcome(), Some(RequestOutcome::Ran), "{answer:?}");
 }
 
-/// One caller asks for many documents at once. Each holds a slot for long; short queries of others
-/// still run beside them.
+/// Guards against one caller's many documents, each of which occupies a slot for long, blocking
+/// the short queries of others.
 #[tokio::test(flavor = "multi_thread")]
 async fn long_work() {
     let fleet = TestFleet::start(small_plan()).await;
@@ -126,13 +130,13 @@
     documents.iter().for_each(|call| call.abort());
 }
 
-/// A request waits in the queue while its server begins to drain. It is handed back as not run
-/// rather than started on a server that leaves, and what runs is finished.
+/// Guards against a queued request being started on a server that has begun to drain. It is
+/// refused as not run, and running requests are finished.
 #[tokio::test(flavor = "multi_thread")]
 async fn drained_queue() {
     let fleet = TestFleet::start(small_plan()).await;
     let client = http1();
-    // Four run and two wait: one caller has no more than a third of the queue.
+    // Four run and two wait: one caller may use at most a third of the queue.
     let calls: Vec<_> = (0..6)
         .map(|number| {
             let (client, entry) = (client.clone(), fleet.entry());
@@ -158,7 +162,7 @@
         }
     }
     assert!(refused > 0);
-    // An announcement that was under way when the drain began brings no work back.
+    // An announcement that was sent before the drain began brings no work back.
     fleet.announce(1, "server-1", address, sk_member::EndpointStatus::Ready);
     fleet.rebuild();
     let answer = get(&client, fleet.entry(), "/").await;
--- a/components/proxy/tests/slow_link.rs
+++ b/components/proxy/tests/slow_link.rs
@@ -19,8 +19,9 @@
     time::Instant,
 };
 
-/// Carries bytes to a guard, each chunk late by so many milliseconds; those back are not.
-async fn slow_way(guard: SocketAddr, delay_ms: Arc<AtomicU64>) -> SocketAddr {
+/// Relays bytes to a guard, each chunk delayed by `delay_ms`; the opposite direction is not
+/// delayed.
+async fn relay_slow_chunks(guard: SocketAddr, delay_ms: Arc<AtomicU64>) -> SocketAddr {
     relay(guard, move |near, far| {
         let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
         tokio::spawn(carry(far_in, near_out, Arc::default()));
@@ -39,8 +40,8 @@
     }
 }
 
-/// Carries bytes to a guard, all of them late by the same time; those back are not.
-async fn long_way(guard: SocketAddr, delay: Duration) -> SocketAddr {
+/// Relays bytes to a guard, all delayed by the same time; the opposite direction is not delayed.
+async fn relay_delayed(guard: SocketAddr, delay: Duration) -> SocketAddr {
     relay(guard, move |near, far| {
         let ((mut near_in, near_out), (far_in, mut far_out)) =
             (near.into_split(), far.into_split());
@@ -64,14 +65,14 @@
     .await
 }
 
-/// A link between two daemons has more waiting than it carries in a call's time. The call's caller has
-/// given up when it arrives, and word of that stands behind it. The server worked for nobody, at the time
-/// at which others waited for it.
+/// Guards against a server working for a caller that is gone. The link between two daemons has
+/// more bytes queued than it carries in a call's time: the call arrives after its caller gave up,
+/// and the reset waits behind it. Meanwhile other requests would wait for the server.
 #[tokio::test(flavor = "multi_thread")]
 async fn caller_gone() {
     let mut fleet = TestFleet::start(FleetPlan::new(1)).await;
     let delay_ms = Arc::<AtomicU64>::default();
-    let guard = slow_way(fleet.daemons[1].guard, delay_ms.clone()).await;
+    let guard = relay_slow_chunks(fleet.daemons[1].guard, delay_ms.clone()).await;
     fleet.move_guard(1, guard);
     let (entry, client) = (fleet.entry(), http1());
     for _ in 0..3 {
@@ -80,24 +81,24 @@
     delay_ms.store(700, Ordering::Relaxed);
     let answer = send(&client, entry, "GET", "/?tag=late", &[(DEADLINE_HEADER, "400")], "").await;
     assert!(answer.status.is_server_error(), "{answer:?}");
-    // Longer than the way takes.
+    // Longer than the transit takes.
     tokio::time::sleep(Duration::from_millis(1500)).await;
-    assert_eq!(fleet.runs("late"), 0, "nobody waits for it");
+    assert_eq!(fleet.runs("late"), 0, "no caller waits for it");
     delay_ms.store(0, Ordering::Relaxed);
     assert_eq!(send(&client, entry, "GET", "/?tag=after", &[], "").await.status, 200);
 }
 
-/// Guards against the very first call between two daemons being run for nobody: the guard knows no
-/// earlier one to compare its time on the way with.
+/// Guards against the first call between two daemons being run for a caller that is gone: the
+/// guard knows no earlier call to compare its transit time with.
 #[tokio::test(flavor = "multi_thread")]
 async fn first_call_late() {
     let mut fleet = TestFleet::start(FleetPlan::new(1)).await;
-    let guard = long_way(fleet.daemons[1].guard, Duration::from_millis(1_200)).await;
+    let guard = relay_delayed(fleet.daemons[1].guard, Duration::from_millis(1_200)).await;
     fleet.move_guard(1, guard);
     let (entry, client) = (fleet.entry(), http1());
     let answer = send(&client, entry, "GET", "/?tag=late", &[(DEADLINE_HEADER, "400")], "").await;
     assert!(answer.status.is_server_error(), "{answer:?}");
-    // Longer than the way takes.
+    // Longer than the transit takes.
     tokio::time::sleep(Duration::from_millis(2_500)).await;
-    assert_eq!(fleet.runs("late"), 0, "nobody waits for it");
+    assert_eq!(fleet.runs("late"), 0, "no caller waits for it");
 }
--- a/components/proxy/tests/table_rebuilt.rs
+++ b/components/proxy/tests/table_rebuilt.rs
@@ -1,4 +1,4 @@
-//! The table while members come and go and the configuration stays.
+//! Rebuilds of the table while members change and the configuration stays.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -35,12 +35,12 @@
     RouteTable::build(before, snapshot, members, &TablePlace::default(), Duration::ZERO)
 }
 
-/// Every restart of a daemon and every server that comes or goes rebuilds the table, in a rolling
-/// restart ten times a second. Where the routes were built anew each time, a service that shares a
-/// route by halves got what chance gave it, and with two thousand routes a small instance spent its
-/// processor on them while callers waited.
+/// Guards against routes being built anew with each change of the members, which in a rolling
+/// restart happens ten times a second. A service that receives half of a route would then get a
+/// random share, and with two thousand routes a small instance would spend its processor on them
+/// while callers wait.
 #[test]
-fn split_goes_on() {
+fn split_kept() {
     let snapshot = snapshot();
     let mut table = rebuild(&RouteTable::default(), &snapshot);
     for round in 0..20 {
@@ -54,9 +54,10 @@
     }
 }
 
-/// A version that drops a route follows. The routes of the one before must not stay.
+/// Guards against routes of an earlier version staying in the table after a version that drops
+/// them.
 #[test]
-fn next_version_holds() {
+fn dropped_route_removed() {
     let before = snapshot();
     let table = rebuild(&RouteTable::default(), &before);
     let mut after = before.clone();
--- a/components/proxy/tests/table_sound.rs
+++ b/components/proxy/tests/table_sound.rs
@@ -1,4 +1,4 @@
-//! No table ever holds a route to a service or an endpoint that it lacks.
+//! No table ever has a route to a service or an endpoint that it lacks.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -24,7 +24,7 @@
     (format!("/team/routes/{index}"), SettingBody::Route(body))
 }
 
-/// Services that exist and routes to any of them, also to such as do not exist.
+/// Services, and routes to any of them, also to ones that do not exist.
 fn settings() -> impl Strategy<Value = BTreeMap<String, SettingBody>> {
     let services = prop::collection::btree_set(0..SERVICES, 0..=usize::from(SERVICES));
     let routes = prop::collection::btree_map(0..4_u8, 0..SERVICES, 0..4);
@@ -79,16 +79,16 @@
     }
 }
 
-/// Gives a route of the table that leads nowhere, if there is one.
+/// Returns a description of a route that leads to a missing service or endpoint, if there is one.
 fn dangling(table: &RouteTable, members: &BTreeMap<String, MemberRecord>) -> Option<String> {
     for index in 0..4 {
         let Some(found) = table.find(None, &format!("/{index}")) else { continue };
-        if !table.services().any(|held| held.name == found.service.name) {
+        if !table.services().any(|service| service.name == found.service.name) {
             return Some(format!("/{index} has no service"));
         }
         for endpoint in found.service.endpoints.values() {
             let runs = members.get(&endpoint.proxy).is_some_and(|record| {
-                record.endpoints.iter().any(|held| *held.service == *found.service.name)
+                record.endpoints.iter().any(|endpoint| *endpoint.service == *found.service.name)
             });
             if !runs {
                 return Some(format!("/{index} leads to {}", endpoint.proxy));
@@ -99,9 +99,9 @@
 }
 
 proptest! {
-    // Endpoints come and go while configurations follow each other, also such as validation would
-    // have refused. A caller on a route that leads nowhere would wait for an answer that cannot
-    // come.
+    // Guards against a caller on a route without a service or endpoint, which would wait for an
+    // answer that cannot come. Endpoints change while configurations follow each other, also ones
+    // that validation would have refused.
     #[test]
     fn never_dangling(
         steps in prop::collection::vec((settings(), prop::collection::vec(record(), 0..6)), 1..6),
@@ -114,7 +114,7 @@
             let now = Duration::from_secs(1);
             table = RouteTable::build(&table, &snapshot, members.values(), &place(), now);
             prop_assert_eq!(dangling(&table, &members), None);
-            // Of a valid configuration every route is there.
+            // The table has every route of a valid configuration.
             if validate_trees(&snapshot.trees).is_empty() {
                 let routes = snapshot.settings().filter(|(path, _)| path.contains("/routes/"));
                 for (path, _) in routes {
@@ -125,10 +125,10 @@
         }
     }
 
-    // A naive proxy applies each setting as it comes. Whatever the order, some prefix of a change
-    // that moves a route to a new service has the route without the service.
+    // A proxy that applies each setting as it arrives fails: whatever the order, some prefix of a
+    // change that moves a route to a new service has the route without the service.
     #[test]
-    fn naive_dangles(is_reversed in any::<bool>()) {
+    fn unordered_settings_dangle(is_reversed in any::<bool>()) {
         let mut writes = vec![
             (service(1), SettingBody::Service(ServiceSetting::default())),
             route(0, 1),
@@ -136,15 +136,15 @@
         if is_reversed {
             writes.reverse();
         }
-        // Withdrawing the two again passes the same states in the other direction.
-        let (mut held, mut has_dangled) = (BTreeMap::new(), false);
+        // Removing the two again passes the same states in reverse.
+        let (mut applied, mut has_dangled) = (BTreeMap::new(), false);
         for (path, body) in writes.iter().cloned() {
-            held.insert(path, body);
-            has_dangled |= !validate_trees(&snapshot(held.clone()).trees).is_empty();
+            applied.insert(path, body);
+            has_dangled |= !validate_trees(&snapshot(applied.clone()).trees).is_empty();
         }
         for (path, _) in &writes {
-            held.remove(path);
-            has_dangled |= !validate_trees(&snapshot(held.clone()).trees).is_empty();
+            applied.remove(path);
+            has_dangled |= !validate_trees(&snapshot(applied.clone()).trees).is_empty();
         }
         prop_assert!(has_dangled);
     }
--- a/components/proxy/tests/whole_answers.rs
+++ b/components/proxy/tests/whole_answers.rs
@@ -1,4 +1,4 @@
-//! Requests and answers arrive whole, or end in an error that their reader sees.
+//! Requests and answers arrive complete, or end in an error that their reader sees.
 
 mod common;
 
@@ -44,10 +44,10 @@
     assert_eq!(answer.json()["body"], "body");
 }
 
-/// A server dies, or its connection breaks, in the middle of an answer. The part that came reads
-/// like a short answer: a caller who is not told takes half a list for the whole. Both hops pass
-/// the cut on as an error. A reader that takes whatever comes before the connection's end, as the
-/// raw one here does, gets the half answer and no error.
+/// Guards against a truncated answer passing as a complete one, when a server dies or its
+/// connection breaks in the middle: a caller who sees no error takes half a list for the whole.
+/// Both hops pass the failure on as an error. A reader that takes everything before the end of the
+/// connection, like the raw one here, gets half the answer and no error.
 #[tokio::test(flavor = "multi_thread")]
 async fn cut_answer() {
     let fleet = TestFleet::start(FleetPlan::new(1)).await;
@@ -58,26 +58,25 @@
             assert!(answer.body.is_err(), "a cut answer looked complete: {answer:?}");
         }
     }
-    let mut naive = TcpStream::connect(fleet.entry()).await.expect("connection");
+    let mut raw = TcpStream::connect(fleet.entry()).await.expect("connection");
     let head = "GET /cut?fault=cut&size=100000 HTTP/1.1\r\nHost: test\r\n\r\n";
-    naive.write_all(head.as_bytes()).await.expect("request");
+    raw.write_all(head.as_bytes()).await.expect("request");
     let mut read = Vec::new();
-    let read = naive.read_to_end(&mut read).await;
-    assert!(read.expect("no error is seen") > 50_000, "naive reader had no half answer");
+    let read = raw.read_to_end(&mut read).await;
+    assert!(read.expect("no error is seen") > 50_000, "the raw reader got no half answer");
     let cut: u64 = fleet.daemons.iter().map(|daemon| daemon.counters.view().cut_answers).sum();
     assert!(cut >= 10, "{cut} cut answers counted");
 }
 
-/// A caller's connection breaks in the middle of an upload. The part that came reads like a short
-/// upload: a server that is not told would store half a document. No server may be given it as a
-/// whole request.
+/// Guards against a truncated upload running as a complete one, when a caller's connection breaks
+/// in the middle: a server that sees no error would store half a document.
 #[tokio::test(flavor = "multi_thread")]
 async fn cut_upload() {
     let fleet = TestFleet::start(FleetPlan::new(1)).await;
     let mut stream = TcpStream::connect(fleet.entry()).await.expect("connection");
     let head = "POST /cut HTTP/1.1\r\nHost: test\r\nTransfer-Encoding: chunked\r\n\r\n";
     stream.write_all(head.as_bytes()).await.expect("head");
-    // More than is kept for a retry, so that the request is under way when it is cut.
+    // More than is kept for a retry, so that the request is already being sent when it is cut.
     for _ in 0..20 {
         let chunk = format!("1388\r\n{}\r\n", "x".repeat(0x1388));
         stream.write_all(chunk.as_bytes()).await.expect("chunk");
@@ -88,7 +87,7 @@
     assert_eq!(fleet.backends[0].served(), 0, "a cut upload ran");
 }
 
-/// Makes an HTTP/2 frame of stream 1, or of the connection for settings.
+/// Creates an HTTP/2 frame of stream 1, or of the connection for settings.
 fn frame(kind: u8, flags: u8, payload: &[u8]) -> Vec<u8> {
     let length = u32::try_from(payload.len()).expect("small frame").to_be_bytes();
     let stream = u8::from(kind != 4);
@@ -98,7 +97,7 @@
 /// Type of the frame by which a peer allows more bytes.
 const WINDOW_UPDATE: u8 = 8;
 
-/// Reads a frame and gives its type.
+/// Reads a frame and returns its type.
 async fn read_frame(stream: &mut TcpStream) -> u8 {
     let mut header = [0; 9];
     stream.read_exact(&mut header).await.expect("a frame");
@@ -108,8 +107,8 @@
     header[3]
 }
 
-/// The same cut over HTTP/2, by a client that resets its stream with the code for "no error". The
-/// library reads that as the end of the body. The request must not run as a whole one.
+/// The same failure over HTTP/2, by a client that resets its stream with the code for "no error".
+/// The library reads that as the end of the body. The request must not run as a complete one.
 #[tokio::test(flavor = "multi_thread")]
 async fn reset_upload() {
     let fleet = TestFleet::start(FleetPlan::new(1)).await;
@@ -118,9 +117,10 @@
     let head = [&[0x83, 0x86, 0x84, 0x41, 4][..], b"test"].concat();
     let preface = [b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".to_vec(), frame(4, 0, &[])].concat();
     stream.write_all(&preface).await.expect("preface");
-    // The entry's windows hold the upload once its settings have come and the connection's window has
-    // grown. Sent earlier, a hundred thousand bytes pass the 65,535 that HTTP/2 begins with, and the
-    // entry rightly ends the connection with a flow control error.
+    // The entry daemon's windows fit the upload once its settings have arrived and the
+    // connection's window has grown. Sent earlier, a hundred thousand bytes exceed the 65,535 that
+    // HTTP/2 begins with, and the entry daemon rightly closes the connection with a flow control
+    // error.
     while read_frame(&mut stream).await != WINDOW_UPDATE {}
     let mut sent = [frame(4, 1, &[]), frame(1, 4, &head)].concat();
     (0..10).for_each(|_| sent.extend(frame(0, 0, &[b'x'; 10_000])));
@@ -145,8 +145,8 @@
     assert_eq!(fleet.served(), 0);
 }
 
-/// An HTTP/1.0 answer without a length ends with its connection, so that a cut one would look
-/// complete.
+/// An HTTP/1.0 answer without a length ends with its connection, so that a truncated one would
+/// look complete.
 #[tokio::test(flavor = "multi_thread")]
 async fn old_protocol() {
     let fleet = TestFleet::start(FleetPlan::new(1)).await;
@@ -179,10 +179,10 @@
     }
 }
 
-/// Someone who is no daemon sends to a guard directly, past routes and fair shares. The guard
-/// refuses it before the server is asked.
+/// Guards against a sender outside the fleet that sends to a guard directly, past routes and fair
+/// shares. The guard refuses it before it asks the server.
 #[tokio::test(flavor = "multi_thread")]
-async fn strange_daemon() {
+async fn unauthorized_sender() {
     let fleet = TestFleet::start(FleetPlan::new(1)).await;
     let target = format!("http://{}/", fleet.daemons[1].guard).parse().expect("target");
     assert!(http1().get(target).await.is_err(), "a guard speaks HTTP/2 only");
