--- a/components/proxy/src/attempt.rs
+++ b/components/proxy/src/attempt.rs
@@ -1,6 +1,6 @@
 //! Attempts to get a request answered: chooses an endpoint, sends, evaluates the answer and
-//! decides on a retry. A retry happens only where the request cannot run twice by it and the retry
-//! budget allows it, so that failures do not multiply the load.
+//! decides on a retry. A request is sent again only if it certainly did not run or may run twice,
+//! and if the retry budget allows it, so that failures do not multiply the load.
 
 use std::{sync::Arc, time::Duration};
 
@@ -41,6 +41,7 @@
     kind: Option<RefusalKind>,
 }
 
+/// How an attempt ended, for the decision on a further one.
 enum AttemptEnd {
     Answered(Response<ProxyBody>),
     Failed(AttemptFailure),
@@ -188,6 +189,7 @@
     call: GuardCall,
 }
 
+/// Builds the message of one attempt at an endpoint.
 fn attempt_message(
     context: &ForwardContext,
     request: &EntryRequest,
@@ -254,10 +256,10 @@
     let end = call_outcome(&response, outcome, kind);
     // The time measured by the guard, so that distance does not count as slowness.
     let latency = hints.service_time.unwrap_or_else(|| running.began.elapsed());
-    let is_tried_again = request.traits.is_repeatable
+    let is_retried = request.traits.is_repeatable
         && (is_unavailable(response.status())
             || is_worth_retrying(service, request, response.status()));
-    let is_wanted = outcome == RequestOutcome::Ran && !is_tried_again;
+    let is_wanted = outcome == RequestOutcome::Ran && !is_retried;
     if is_wanted || kind == Some(RefusalKind::AlreadyRan) {
         let (placed, counters) = (running.placed, context.counters.clone());
         let call = EndpointCall { placed, outcome: end, latency, counters };
--- a/components/proxy/src/exchange.rs
+++ b/components/proxy/src/exchange.rs
@@ -138,8 +138,8 @@
                 server.record_end(status.is_server_error() || !is_own);
                 return match verdict {
                     AnswerVerdict::Sound => {
-                        let times = (admitted.upload_time + took, admitted.deadline);
-                        stream_answer(response, exchange, admitted.claim, times)
+                        let timing = (admitted.upload_time + took, admitted.deadline);
+                        stream_answer(response, exchange, admitted.claim, timing)
                     }
                     verdict => reject_answer(verdict, call.goal(), exchange, admitted.claim).await,
                 };
@@ -210,6 +210,7 @@
         self.set_claim(ClaimOutcome::NotRun);
     }
 
+    /// Sets the outcome of the claim, if the request has a key.
     fn set_claim(&mut self, outcome: ClaimOutcome) {
         if let Some(claim) = &mut self.claim {
             claim.set_outcome(outcome);
@@ -267,9 +268,9 @@
     write_service_time(headers, service_time);
     exchange.server.hints().write(headers);
     let until = Some(deadline + BODY_GRACE);
-    let line = exchange.server.answer_transfers.clone();
+    let scheduler = exchange.server.answer_transfers.clone();
     response.map(|body| {
-        TrackedBody::new(ScheduledBody::new(body, &line), exchange, until).boxed_unsync()
+        TrackedBody::new(ScheduledBody::new(body, &scheduler), exchange, until).boxed_unsync()
     })
 }
 
--- a/components/proxy/src/guard.rs
+++ b/components/proxy/src/guard.rs
@@ -90,8 +90,8 @@
     let deadline = context.drain.bound(at + call.context().remaining);
     let arrival = CallArrival { at, deadline, is_over_link: transit_delay.is_some() };
     let mut abandon_log = AbandonLog::new(attempt, at, transit_delay.unwrap_or_default());
-    let passed = admit_and_send(&context, request, &call, arrival, &mut abandon_log.stage);
-    let mut response = match context.drain.await_until(deadline, GUARD_GRACE, passed).await {
+    let answer = admit_and_send(&context, request, &call, arrival, &mut abandon_log.stage);
+    let mut response = match context.drain.await_until(deadline, GUARD_GRACE, answer).await {
         Some(response) => response,
         // Dropping the exchange has closed its connection, which tells the server to stop, and a
         // late answer can no longer reach any caller.
@@ -128,8 +128,8 @@
         return refuse_with_delay(RefusalKind::ServerGone, Duration::ZERO);
     };
     let alone = match judge_quarantine(context, &request, call) {
-        QuarantineVerdict::Refused(left) => {
-            return refuse_with_delay(RefusalKind::Quarantined, left);
+        QuarantineVerdict::Refused(remaining) => {
+            return refuse_with_delay(RefusalKind::Quarantined, remaining);
         }
         verdict => verdict == QuarantineVerdict::TryAlone,
     };
@@ -230,8 +230,8 @@
             attempt, fingerprint:%;
             "guard: a request that was running on a crashed server is run alone."
         ),
-        QuarantineVerdict::Refused(left) => log::warn!(
-            attempt, fingerprint:%, left_ms = left.as_millis() as u64;
+        QuarantineVerdict::Refused(remaining) => log::warn!(
+            attempt, fingerprint:%, left_ms = remaining.as_millis() as u64;
             "guard: refused a quarantined request: servers crashed while running it."
         ),
     }
@@ -240,12 +240,12 @@
 
 /// Describes a call for the admission to the gate.
 fn guard_request(call: &GuardCall, deadline: Instant, alone: bool) -> GuardRequest {
-    let left = deadline.saturating_duration_since(Instant::now());
+    let remaining = deadline.saturating_duration_since(Instant::now());
     let now = process_now();
     GuardRequest {
         class: call.class,
         flow: call.flow(),
-        deadline: now + left,
+        deadline: now + remaining,
         alone,
         goal: call.goal().map(|goal| now + goal),
         rank: call.rank,
@@ -276,7 +276,7 @@
     let unavailable = || Box::new(refuse(RefusalKind::ClaimsUnavailable));
     let Some(gate) = &context.claims else { return Err(unavailable()) };
     let verdict = match PendingClaim::claim(gate.clone(), key, deadline.into_std()).await {
-        Ok(claim_held) => return Ok(Some(claim_held)),
+        Ok(claim) => return Ok(Some(claim)),
         Err(verdict) => verdict,
     };
     Err(match verdict {
--- a/components/proxy/src/request_log.rs
+++ b/components/proxy/src/request_log.rs
@@ -120,6 +120,7 @@
         }
     }
 
+    /// Writes the line, which is the only one of the request.
     fn write_line(&mut self, end: &RequestEnd) {
         self.is_written = true;
         self.finish_call(end);
@@ -129,7 +130,7 @@
         let records = self.history.take_records();
         let attempts: Vec<String> = records.iter().map(ToString::to_string).collect();
         let gave_up = self.history.gave_up.map(|reason| reason.to_string());
-        let deadline_ms = self.deadline.map_or(0, |left| left.as_millis() as u64);
+        let deadline_ms = self.deadline.map_or(0, |deadline| deadline.as_millis() as u64);
         log::log!(
             end.level,
             attempt = header_text(self.attempt.as_ref()),
@@ -167,14 +168,14 @@
     /// moment, and without this line a caller's complaint could not be traced in the log.
     fn drop(&mut self) {
         if !self.is_written {
-            let left = RequestEnd {
+            let end = RequestEnd {
                 level: log::Level::Info,
                 text: "caller left",
                 status: 0,
                 outcome: RequestOutcome::Unknown.as_str(),
                 reason: NO_TEXT,
             };
-            self.write_line(&left);
+            self.write_line(&end);
         }
     }
 }
