--- a/components/proxy/src/attempt.rs
+++ b/components/proxy/src/attempt.rs
@@ -271,7 +271,7 @@
         running.placed.finish(end, latency, process_now());
     }
     history.may_have_run |= outcome != RequestOutcome::NotRun;
-    if outcome != RequestOutcome::NotRun || kind == Some(RefusalKind::TurnedAway) {
+    if outcome != RequestOutcome::NotRun || kind == Some(RefusalKind::ServerRejected) {
         history.server_attempts += 1;
     }
     let response = match request.body.has_overrun() {
--- a/components/proxy/src/exchange.rs
+++ b/components/proxy/src/exchange.rs
@@ -160,7 +160,7 @@
                     // while it was idle.
                     if let Some(again) = copy.take().filter(|_| idle.is_some()) {
                         log::info!(
-                            "guard: server {} reset an idle connection; resending the request: {err}.",
+                            "guard: server {} reset an idle connection; resending: {err}.",
                             server.id
                         );
                         request = again;
@@ -260,7 +260,7 @@
             "guard: server {} answered with an unrequested protocol switch.",
             exchange.server.id
         );
-        return error_answer(RefusalKind::AnswerUnsound, RequestOutcome::Ran);
+        return error_answer(RefusalKind::AnswerInvalid, RequestOutcome::Ran);
     }
     let headers = response.headers_mut();
     strip_answer(headers);
@@ -299,13 +299,11 @@
             if let Some(claim) = claim {
                 claim.release_unrun().await;
             }
-            refuse_with_delay(RefusalKind::TurnedAway, shed_retry_delay(goal))
+            refuse_with_delay(RefusalKind::ServerRejected, shed_retry_delay(goal))
         }
         verdict => {
-            log::warn!(
-                "guard: server {id} sent an answer that is not a valid answer to the request: {verdict:?}."
-            );
-            error_answer(RefusalKind::AnswerUnsound, RequestOutcome::Unknown)
+            log::warn!("guard: server {id} sent an invalid answer to a request: {verdict:?}.");
+            error_answer(RefusalKind::AnswerInvalid, RequestOutcome::Unknown)
         }
     };
     exchange.server.hints().write(response.headers_mut());
--- a/components/proxy/src/local.rs
+++ b/components/proxy/src/local.rs
@@ -103,7 +103,7 @@
         Self { limits, ..Self::default() }
     }
 
-    /// Finds the server of a service.
+    /// Returns the server of a service.
     pub fn find(&self, service: &str) -> Option<LocalServer> {
         self.current.load().get(service).map(|entry| entry.server.clone())
     }
@@ -232,7 +232,10 @@
                 let is_kept = is_kept(entry);
                 if !is_kept {
                     let silent_ms = entry.server.announced.elapsed().as_millis() as u64;
-                    log::info!(silent_ms; "guard: removed server {} from the local servers.", entry.guarded.id);
+                    log::info!(
+                        silent_ms;
+                        "guard: removed server {} from the local servers.", entry.guarded.id
+                    );
                     retire(&entry.guarded);
                 }
                 is_kept
@@ -292,10 +295,10 @@
     /// Records whether a request that was sent failed.
     pub(crate) fn record_end(&self, is_failure: bool) {
         let sample = if is_failure { 1000 } else { 0 };
-        let mean =
+        let update =
             |mean: u32| Some((mean * (FAILURE_MEAN_REQUESTS - 1) + sample) / FAILURE_MEAN_REQUESTS);
         // The closure always returns a value, so the update cannot fail.
-        let _ = self.failure_permille.fetch_update(Ordering::Relaxed, Ordering::Relaxed, mean);
+        let _ = self.failure_permille.fetch_update(Ordering::Relaxed, Ordering::Relaxed, update);
     }
 
     /// Returns the server's load, wait and failure rate.
--- a/components/proxy/src/outcome.rs
+++ b/components/proxy/src/outcome.rs
@@ -59,7 +59,7 @@
     /// Converts the outcome for the retry decision; a rejection by the server counts apart.
     pub(crate) fn run_outcome(self, kind: Option<RefusalKind>) -> RunOutcome {
         match self {
-            Self::NotRun if kind == Some(RefusalKind::TurnedAway) => RunOutcome::TurnedAway,
+            Self::NotRun if kind == Some(RefusalKind::ServerRejected) => RunOutcome::TurnedAway,
             Self::NotRun => RunOutcome::NotRun,
             Self::Ran => RunOutcome::Ran,
             Self::Unknown => RunOutcome::Unknown,
@@ -141,9 +141,9 @@
     /// The answer was lost.
     AnswerLost = "answer-lost",
     /// The answer cannot be the server's complete answer to this request.
-    AnswerUnsound = "answer-unsound",
+    AnswerInvalid = "answer-unsound",
     /// The server received the request and reported that it did not run it.
-    TurnedAway = "turned-away",
+    ServerRejected = "turned-away",
 }
 
 impl RefusalKind {
--- a/components/proxy/src/pool.rs
+++ b/components/proxy/src/pool.rs
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Records that a connection had been closed by the server within the given idle time.
+    /// Records that the server had dropped a connection that was idle for this long.
     pub(crate) fn record_stale(&self, idle: Duration) {
         self.lock().trust.note_stale(idle, process_now());
     }
