--- a/components/proxy/src/attempt.rs
+++ b/components/proxy/src/attempt.rs
@@ -274,7 +274,7 @@
     if outcome != RequestOutcome::NotRun || kind == Some(RefusalKind::ServerRejected) {
         history.server_attempts += 1;
     }
-    let response = match request.body.has_overrun() {
+    let response = match request.body.is_over_limit() {
         true => daemon_answer(StatusCode::PAYLOAD_TOO_LARGE, outcome, RefusalKind::TooLarge),
         false => response,
     };
--- a/components/proxy/src/entry_answer.rs
+++ b/components/proxy/src/entry_answer.rs
@@ -41,7 +41,7 @@
 
     fn on_failure(self, err: &BodyError) {
         let attempt = header_text(self.attempt.as_ref());
-        log::warn!(attempt; "proxy: an answer ended early, after its head was sent: {err}.");
+        log::warn!(attempt; "proxy: an answer was cut after its head: {err}.");
     }
 }
 
--- a/components/proxy/src/headers.rs
+++ b/components/proxy/src/headers.rs
@@ -100,9 +100,9 @@
     deadline: Duration,
 ) -> CallContext {
     let remaining = remaining.unwrap_or(deadline);
-    let small =
+    let number =
         |name| read_number(headers, name).map_or(0, |count| u8::try_from(count).unwrap_or(u8::MAX));
-    let (hops, retried_above) = (small(HOPS_HEADER), small(RETRIED_HEADER));
+    let (hops, retried_above) = (number(HOPS_HEADER), number(RETRIED_HEADER));
     CallContext { remaining, hops, retried_above }.bounded_by(deadline)
 }
 
--- a/components/proxy/src/hints.rs
+++ b/components/proxy/src/hints.rs
@@ -60,12 +60,12 @@
 impl ReadHints {
     /// Reads the hints of an answer.
     pub(crate) fn read(headers: &HeaderMap) -> Self {
-        let small = |name: &HeaderName| u32::try_from(read_number(headers, name)?).ok();
+        let number = |name: &HeaderName| u32::try_from(read_number(headers, name)?).ok();
         let time = |name| read_number(headers, name).map(Duration::from_micros);
         Self {
-            load: small(&LOAD_HEADER),
+            load: number(&LOAD_HEADER),
             wait: time(&WAIT_HEADER),
-            failure_permille: small(&FAILURE_HEADER),
+            failure_permille: number(&FAILURE_HEADER),
             service_time: time(&SERVICE_TIME_HEADER),
             guard_time: time(&GUARD_TIME_HEADER),
         }
--- a/components/proxy/src/upload.rs
+++ b/components/proxy/src/upload.rs
@@ -36,7 +36,7 @@
         /// The whole body, until it is sent.
         body: Option<ProxyBody>,
         /// Set when it turns out to be larger than the settings allow.
-        is_too_large: Arc<AtomicBool>,
+        is_over_limit: Arc<AtomicBool>,
     },
 }
 
@@ -87,8 +87,8 @@
     }
 
     /// Returns whether a body that is being sent has exceeded the allowed size.
-    pub(crate) fn has_overrun(&self) -> bool {
-        matches!(self, Self::Stream { is_too_large, .. } if is_too_large.load(Ordering::Acquire))
+    pub(crate) fn is_over_limit(&self) -> bool {
+        matches!(self, Self::Stream { is_over_limit, .. } if is_over_limit.load(Ordering::Acquire))
     }
 
     /// Returns whether the body can be sent again.
@@ -163,8 +163,8 @@
         Err(err) if err.is::<LengthLimitError>() => return Err(UploadError::TooLarge),
         Err(_) => return Err(UploadError::Lost),
     };
-    let is_too_large = Arc::new(AtomicBool::new(false));
-    let flag = is_too_large.clone();
+    let is_over_limit = Arc::new(AtomicBool::new(false));
+    let flag = is_over_limit.clone();
     let rest = rest.map_err(move |err| match err.downcast::<BodyError>() {
         Ok(err) => *err,
         Err(_) => {
@@ -173,5 +173,5 @@
         }
     });
     let body = PrefixedBody::new(prefix.clone(), rest).boxed_unsync();
-    Ok(UploadBody::Stream { prefix, body: Some(body), is_too_large })
+    Ok(UploadBody::Stream { prefix, body: Some(body), is_over_limit })
 }
