--- a/components/proxy/src/entry.rs
+++ b/components/proxy/src/entry.rs
@@ -30,7 +30,7 @@
     pub(crate) call: CallContext,
     pub(crate) began: Instant,
     pub(crate) traits: CallTraits,
-    /// Number of servers that it may be sent to, if the route limits it.
+    /// Largest number of servers that it may be sent to, if the route limits it.
     pub(crate) max_attempts: Option<u8>,
 }
 
--- a/components/proxy/tests/crash_quarantine.rs
+++ b/components/proxy/tests/crash_quarantine.rs
@@ -7,7 +7,7 @@
 use common::{FleetPlan, TestAnswer, TestClient, TestFleet, get, http1, send, wait_for};
 use sk_proxy::{RefusalKind, RequestOutcome};
 
-const CRASHING: &str = "/deadly?fault=crash";
+const CRASHING_PATH: &str = "/deadly?fault=crash";
 
 /// Restarts each crashed server as a new process, as a supervisor does.
 async fn restart_crashed(fleet: &mut TestFleet, daemons: usize, crashes: &mut u32) {
@@ -29,7 +29,7 @@
 }
 
 async fn send_crashing(client: &TestClient, fleet: &TestFleet) -> TestAnswer {
-    send(client, fleet.entry(), "POST", CRASHING, &[], "body").await
+    send(client, fleet.entry(), "POST", CRASHING_PATH, &[], "body").await
 }
 
 /// Guards against a request that crashes every server that runs it, sent again by its caller each
@@ -64,7 +64,8 @@
 
     let mut direct_crashes = 0;
     for backend in &fleet.backends[fleet.backends.len() - 2..] {
-        let target = format!("http://{}{CRASHING}", backend.address()).parse().expect("target");
+        let target =
+            format!("http://{}{CRASHING_PATH}", backend.address()).parse().expect("target");
         direct_crashes += u32::from(client.get(target).await.is_err());
     }
     assert_eq!(direct_crashes, 2, "sent directly, the request must crash every server");
@@ -134,7 +135,7 @@
     let fleet = TestFleet::start(FleetPlan::new(1)).await;
     let client = http1();
     let (other, entry) = (client.clone(), fleet.entry());
-    let neighbour = tokio::spawn(async move { get(&other, entry, "/neighbour?work_ms=500").await });
+    let running = tokio::spawn(async move { get(&other, entry, "/neighbour?work_ms=500").await });
     wait_for("another request to run", || fleet.backends[0].counts().running == 1).await;
     for _ in 0..3 {
         let answer = send(&client, entry, "POST", "/fails?fault=drop", &[], "").await;
@@ -143,5 +144,5 @@
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     assert!(fleet.daemons[1].board.is_empty());
-    assert_eq!(neighbour.await.expect("call ends").outcome(), Some(RequestOutcome::Ran));
+    assert_eq!(running.await.expect("call ends").outcome(), Some(RequestOutcome::Ran));
 }
