--- a/components/proxy/src/exchange.rs
+++ b/components/proxy/src/exchange.rs
@@ -1,4 +1,6 @@
-//! One exchange with the local backend server.
+//! One exchange with the local backend server: sends an admitted request and classifies the
+//! answer. An answer is passed on only if it certainly belongs to the request, and what may have
+//! run is never reported as not run.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,67 +16,70 @@
 use tokio::time::Instant;
 
 use crate::{
-    answer::{lost_answer, refuse, refuse_until},
+    answer::{error_answer, refuse, refuse_with_delay},
     body::{ProxyBody, whole_body},
     call::GuardCall,
-    claim::{ClaimHold, ClaimOutcome},
+    claim::{ClaimOutcome, PendingClaim},
     context::GuardContext,
     gate::AdmitPermit,
     headers::{strip_hop_headers, strip_own_headers},
-    hints::write_ran,
+    hints::write_service_time,
     local::GuardedServer,
+    open_exchange::OpenExchange,
     outcome::{RefusalKind, RequestOutcome},
     pool::AcquiredSender,
-    quarantine::examine,
-    served::ServerExchange,
+    quarantine::check_for_crash,
     times::TimeStage,
-    transfers::TurnBody,
-    watched::WatchedBody,
+    tracked_body::TrackedBody,
+    transfers::ScheduledBody,
     words::{AnswerVerdict, RequestNote},
 };
 
-/// Part of the goal, as a divisor, over which the return of callers is spread whom a server turned away:
-/// enough to keep a herd apart, and little of what they have left.
-const SHED_RETURN_PART: u32 = 8;
-/// Longest such time, also where there is no goal.
-const LONGEST_SHED_RETURN: Duration = Duration::from_millis(100);
+/// Divisor of the response-time goal that yields the window over which the retries of callers are
+/// spread whose requests a server rejected: long enough to spread a burst of callers, and a small
+/// part of their remaining time.
+const SHED_RETRY_DIVISOR: u32 = 8;
+/// Longest such window, also without a goal.
+const MAX_SHED_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// How far a request has come, for the answer at its deadline.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(crate) enum PassStage {
-    /// The server has been sent nothing.
+pub(crate) enum SendStage {
+    /// Nothing was sent to the server.
     Waiting,
-    /// The server may have it, by this permit.
+    /// The server may have the request.
     Sent,
-    /// The server may have had it twice. What becomes of the second one says nothing of the first.
+    /// The server may have received the request twice. The result of the second one says nothing
+    /// about the first.
     Resent,
 }
 
-/// A request that may be sent now, with all that must be given back when it ends.
+/// A request that may be sent now, with everything that must be released when it ends.
 pub(crate) struct AdmittedRequest {
     pub(crate) permit: AdmitPermit,
-    pub(crate) hold: Option<ClaimHold>,
-    /// Time that its body took to come over the link.
-    pub(crate) fetched: Duration,
+    pub(crate) claim: Option<PendingClaim>,
+    /// Time in which its body arrived over the link.
+    pub(crate) upload_time: Duration,
     pub(crate) admitted_at: Instant,
     pub(crate) deadline: Instant,
 }
 
-/// Sends an admitted request to the server and gives its answer, or one that tells what is known.
+/// Sends an admitted request to the server and returns its answer, or one made here that states
+/// what is known.
 pub(crate) async fn send(
     context: &Arc<GuardContext>,
     server: &Arc<GuardedServer>,
     request: Request<ProxyBody>,
     call: &GuardCall,
     admitted: AdmittedRequest,
-    stage: &mut PassStage,
+    stage: &mut SendStage,
 ) -> Response<ProxyBody> {
-    let response = send_on(context, server, request, call, admitted, stage).await;
-    // The server may have run what it first got, and died. If the process in its place turns the
-    // request away, the caller would be told that nothing ran.
+    let response = send_until_taken(context, server, request, call, admitted, stage).await;
+    // The server may have run the first copy, and died. If the process in its place rejects the
+    // second, the caller would be told that nothing ran.
     match RequestOutcome::read(response.headers()) {
-        Some(RequestOutcome::NotRun) if *stage == PassStage::Resent => {
-            let mut response = lost_answer(RefusalKind::AnswerLost, RequestOutcome::Unknown);
+        Some(RequestOutcome::NotRun) if *stage == SendStage::Resent => {
+            let mut response = error_answer(RefusalKind::AnswerLost, RequestOutcome::Unknown);
             server.hints().write(response.headers_mut());
             response
         }
@@ -82,37 +87,41 @@
     }
 }
 
-/// Sends on one connection after the other until one takes the request.
-async fn send_on(
+/// Sends on one connection after the other until one accepts the request.
+async fn send_until_taken(
     context: &Arc<GuardContext>,
     server: &Arc<GuardedServer>,
     request: Request<ProxyBody>,
     call: &GuardCall,
     mut admitted: AdmittedRequest,
-    stage: &mut PassStage,
+    stage: &mut SendStage,
 ) -> Response<ProxyBody> {
     let attempt = context.words.attempt(request.headers()).cloned();
-    let mut request = to_server(context, request, server, call, admitted.deadline);
-    let mut spare = spare_of(&request, call);
+    let mut request = server_request(context, request, server, call, admitted.deadline);
+    let mut copy = resendable_copy(&request, call);
     loop {
         let AcquiredSender { mut sender, idle } =
             match server.pool.acquire(call.is_repeatable).await {
                 Ok(found) => found,
                 Err(err) => {
-                    log::info!("guard: {}: {err}.", server.id);
-                    examine(context.quarantine.clone(), context.servers.clone(), server.clone());
-                    return not_run(admitted, RefusalKind::ServerUnreachable).await;
+                    log::info!("guard: no connection to server {}: {err}.", server.id);
+                    check_for_crash(
+                        context.quarantine.clone(),
+                        context.servers.clone(),
+                        server.clone(),
+                    );
+                    return refuse_unsent(admitted, RefusalKind::ServerUnreachable).await;
                 }
             };
-        // A process that was paused wakes here with a request whose caller was told long ago that
-        // its end is unknown. It could still run, but nobody waits for it.
+        // A daemon that was paused may resume here with a request whose caller was told long ago
+        // that its outcome is unknown. It could still run, but nobody waits for it.
         if admitted.deadline <= Instant::now() {
-            return not_run(admitted, RefusalKind::DeadlineTooNear).await;
+            return refuse_unsent(admitted, RefusalKind::DeadlineTooNear).await;
         }
-        admitted.note_sent(call, stage);
+        admitted.record_sent(call, stage);
         match sender.try_send_request(request).await {
             Ok(response) => {
-                let exchange = ServerExchange {
+                let exchange = OpenExchange {
                     context: context.clone(),
                     server: server.clone(),
                     fingerprint: call.fingerprint,
@@ -126,179 +135,196 @@
                 let times = context.counters.times();
                 times.observe(&call.service, outcome, TimeStage::Server, took);
                 let is_own = matches!(verdict, AnswerVerdict::Sound | AnswerVerdict::NotExecuted);
-                server.note_end(status.is_server_error() || !is_own);
+                server.record_end(status.is_server_error() || !is_own);
                 return match verdict {
                     AnswerVerdict::Sound => {
-                        let span = (admitted.fetched + took, admitted.deadline);
-                        answer(response, exchange, admitted.hold, span)
+                        let timing = (admitted.upload_time + took, admitted.deadline);
+                        stream_answer(response, exchange, admitted.claim, timing)
                     }
-                    verdict => reject(verdict, call.goal(), exchange, admitted.hold).await,
+                    verdict => reject_answer(verdict, call.goal(), exchange, admitted.claim).await,
                 };
             }
             Err(mut err) => match err.take_message() {
                 // The connection had closed while idle and took no byte of the request.
                 Some(unsent) => {
                     request = unsent;
-                    admitted.note_unsent(stage);
+                    admitted.record_unsent(stage);
                 }
                 None => {
                     let err = err.into_error();
                     let idle = idle.filter(|idle| *idle >= STALE_LEAST && !err.is_user());
                     if let Some(idle) = idle {
-                        server.pool.note_stale(idle);
+                        server.pool.record_stale(idle);
                     }
-                    // Once and at once: the server most likely forgot the connection.
-                    if let Some(again) = spare.take().filter(|_| idle.is_some()) {
-                        log::info!("guard: {} reset a connection that was idle: {err}.", server.id);
+                    // Resent once, without delay: the server most likely dropped the connection
+                    // while it was idle.
+                    if let Some(again) = copy.take().filter(|_| idle.is_some()) {
+                        log::info!(
+                            "guard: server {} reset an idle connection; resending: {err}.",
+                            server.id
+                        );
                         request = again;
-                        *stage = PassStage::Resent;
+                        *stage = SendStage::Resent;
                         continue;
                     }
-                    log::info!("guard: {} lost an answer: {err}.", server.id);
-                    return lost(context, server, &admitted.permit, &err);
+                    log::info!(
+                        "guard: connection to server {} failed before the answer: {err}.",
+                        server.id
+                    );
+                    return end_broken(context, server, &admitted.permit, &err);
                 }
             },
         }
     }
 }
 
-/// Gives a copy of a request that may be sent again as it is.
-fn spare_of(request: &Request<ProxyBody>, call: &GuardCall) -> Option<Request<ProxyBody>> {
+/// Returns a copy of a request that may be sent again unchanged: repeatable and without a body.
+fn resendable_copy(request: &Request<ProxyBody>, call: &GuardCall) -> Option<Request<ProxyBody>> {
     let is_plain = call.is_repeatable && request.body().is_end_stream();
     is_plain.then(|| {
-        let mut spare = Request::new(whole_body(Bytes::new()));
-        *spare.method_mut() = request.method().clone();
-        *spare.uri_mut() = request.uri().clone();
-        *spare.headers_mut() = request.headers().clone();
-        spare
+        let mut copy = Request::new(whole_body(Bytes::new()));
+        *copy.method_mut() = request.method().clone();
+        *copy.uri_mut() = request.uri().clone();
+        *copy.headers_mut() = request.headers().clone();
+        copy
     })
 }
 
 impl AdmittedRequest {
-    fn note_sent(&mut self, call: &GuardCall, stage: &mut PassStage) {
-        if *stage != PassStage::Resent {
-            *stage = PassStage::Sent;
+    /// Records that the server may receive the request from now on.
+    fn record_sent(&mut self, call: &GuardCall, stage: &mut SendStage) {
+        if *stage != SendStage::Resent {
+            *stage = SendStage::Sent;
         }
-        self.permit.note_sent(call.fingerprint);
+        self.permit.record_sent(call.fingerprint);
         self.set_claim(ClaimOutcome::Unknown);
     }
 
-    fn note_unsent(&mut self, stage: &mut PassStage) {
-        if *stage == PassStage::Resent {
+    /// Records that no byte of the request was sent, unless a first copy was.
+    fn record_unsent(&mut self, stage: &mut SendStage) {
+        if *stage == SendStage::Resent {
             return;
         }
-        *stage = PassStage::Waiting;
-        self.permit.note_unsent();
+        *stage = SendStage::Waiting;
+        self.permit.record_unsent();
         self.set_claim(ClaimOutcome::NotRun);
     }
 
+    /// Sets the outcome of the claim, if the request has a key.
     fn set_claim(&mut self, outcome: ClaimOutcome) {
-        if let Some(hold) = &mut self.hold {
-            hold.set(outcome);
+        if let Some(claim) = &mut self.claim {
+            claim.set_outcome(outcome);
         }
     }
 }
 
-/// Ends an admitted request that was not sent.
-async fn not_run(admitted: AdmittedRequest, kind: RefusalKind) -> Response<ProxyBody> {
+/// Refuses an admitted request that was not sent, and releases its slot and claim.
+async fn refuse_unsent(admitted: AdmittedRequest, kind: RefusalKind) -> Response<ProxyBody> {
     drop(admitted.permit);
-    if let Some(hold) = admitted.hold {
-        hold.give_back().await;
+    if let Some(claim) = admitted.claim {
+        claim.release_unrun().await;
     }
     refuse(kind)
 }
 
 /// Ends a request whose connection broke before the head of an answer.
-fn lost(
+fn end_broken(
     context: &Arc<GuardContext>,
     server: &Arc<GuardedServer>,
     permit: &AdmitPermit,
     err: &hyper::Error,
 ) -> Response<ProxyBody> {
-    // A body that failed is the caller's doing and says nothing of the server.
+    // A failed request body is caused by the caller and says nothing about the server.
     if !err.is_user() {
-        server.note_end(true);
-        permit.note_broken();
-        examine(context.quarantine.clone(), context.servers.clone(), server.clone());
+        server.record_end(true);
+        permit.record_broken();
+        check_for_crash(context.quarantine.clone(), context.servers.clone(), server.clone());
     }
-    let mut response = lost_answer(RefusalKind::AnswerLost, RequestOutcome::Unknown);
+    let mut response = error_answer(RefusalKind::AnswerLost, RequestOutcome::Unknown);
     server.hints().write(response.headers_mut());
     response
 }
 
-fn answer(
+/// Streams a server's answer to the entry daemon, until a short time after its deadline.
+fn stream_answer(
     mut response: Response<Incoming>,
-    exchange: ServerExchange,
-    hold: Option<ClaimHold>,
-    (ran, deadline): (Duration, Instant),
+    exchange: OpenExchange,
+    claim: Option<PendingClaim>,
+    (service_time, deadline): (Duration, Instant),
 ) -> Response<ProxyBody> {
-    if let Some(mut hold) = hold {
-        hold.set(ClaimOutcome::Ran { status: response.status().as_u16() });
+    if let Some(mut claim) = claim {
+        claim.set_outcome(ClaimOutcome::Ran { status: response.status().as_u16() });
     }
     if response.status().is_informational() {
-        log::warn!("guard: {} switches protocols unasked.", exchange.server.id);
-        return lost_answer(RefusalKind::AnswerUnsound, RequestOutcome::Ran);
+        log::warn!(
+            "guard: server {} answered with an unrequested protocol switch.",
+            exchange.server.id
+        );
+        return error_answer(RefusalKind::AnswerInvalid, RequestOutcome::Ran);
     }
     let headers = response.headers_mut();
     strip_answer(headers);
     RequestOutcome::Ran.write(headers);
-    write_ran(headers, ran);
+    write_service_time(headers, service_time);
     exchange.server.hints().write(headers);
     let until = Some(deadline + BODY_GRACE);
-    let line = exchange.server.transfers.clone();
-    response
-        .map(|body| WatchedBody::new(TurnBody::new(body, &line), exchange, until).boxed_unsync())
+    let scheduler = exchange.server.answer_transfers.clone();
+    response.map(|body| {
+        TrackedBody::new(ScheduledBody::new(body, &scheduler), exchange, until).boxed_unsync()
+    })
 }
 
-/// Gives when a caller may return whose request a server turned away although it had a slot free.
+/// Returns the retry delay for a request that a server rejected although it had a free slot.
 ///
-/// Such a server sheds by chance or by a count of its own, and the next try has as good a chance as the
-/// first. Told to come back after a second, callers waited for as long as they could, and what was then
-/// served was late.
-fn shed_return(goal: Option<Duration>) -> Duration {
-    let window = goal.map_or(LONGEST_SHED_RETURN, |goal| goal / SHED_RETURN_PART);
-    draw_between(Duration::ZERO, window.min(LONGEST_SHED_RETURN), &mut rand::rng())
+/// Such a server sheds load at random or by a count of its own, and the next attempt is as likely
+/// to succeed as the first. With a delay of a second, callers waited as long as they could, and
+/// what was then served was late.
+fn shed_retry_delay(goal: Option<Duration>) -> Duration {
+    let window = goal.map_or(MAX_SHED_RETRY_DELAY, |goal| goal / SHED_RETRY_DIVISOR);
+    draw_between(Duration::ZERO, window.min(MAX_SHED_RETRY_DELAY), &mut rand::rng())
 }
 
-/// Ends an exchange whose answer must not reach the caller. Its connection is closed, since what
-/// comes next on it may belong to another request.
-async fn reject(
+/// Ends an exchange whose answer must not reach the caller. Its connection is closed, because the
+/// next bytes on it may belong to another request.
+async fn reject_answer(
     verdict: AnswerVerdict,
     goal: Option<Duration>,
-    exchange: ServerExchange,
-    hold: Option<ClaimHold>,
+    exchange: OpenExchange,
+    claim: Option<PendingClaim>,
 ) -> Response<ProxyBody> {
     let id = &exchange.server.id;
     let mut response = match verdict {
         AnswerVerdict::NotExecuted => {
-            log::info!("guard: {id} turned a request away.");
-            if let Some(hold) = hold {
-                hold.give_back().await;
+            log::info!("guard: server {id} rejected a request without running it.");
+            if let Some(claim) = claim {
+                claim.release_unrun().await;
             }
-            refuse_until(RefusalKind::TurnedAway, shed_return(goal))
+            refuse_with_delay(RefusalKind::ServerRejected, shed_retry_delay(goal))
         }
         verdict => {
-            log::warn!("guard: {id} gave an answer that is not its own: {verdict:?}.");
-            lost_answer(RefusalKind::AnswerUnsound, RequestOutcome::Unknown)
+            log::warn!("guard: server {id} sent an invalid answer to a request: {verdict:?}.");
+            error_answer(RefusalKind::AnswerInvalid, RequestOutcome::Unknown)
         }
     };
     exchange.server.hints().write(response.headers_mut());
     response
 }
 
+/// Removes headers that must not leave with an answer.
 fn strip_answer(headers: &mut HeaderMap) {
     strip_hop_headers(headers);
     strip_own_headers(headers);
 }
 
-fn left_of(call: &GuardCall, deadline: Instant) -> CallContext {
+/// Returns the call's context with the time that remains now.
+fn remaining_context(call: &GuardCall, deadline: Instant) -> CallContext {
     let remaining = deadline.saturating_duration_since(Instant::now());
     CallContext { remaining, ..call.context() }
 }
 
-/// Makes the request that the server gets: its path alone as target, the caller's host, and what
-/// the server is told in the platform's words.
-fn to_server(
+/// Creates the request for the server: its path alone as target, the caller's host, and the
+/// platform's headers.
+fn server_request(
     context: &GuardContext,
     mut request: Request<ProxyBody>,
     server: &GuardedServer,
@@ -310,7 +336,7 @@
     *request.version_mut() = http::Version::HTTP_11;
     let headers = request.headers_mut();
     let note = RequestNote {
-        context: left_of(call, deadline),
+        context: remaining_context(call, deadline),
         server: &server.name,
         from: call.from.as_deref(),
     };
--- a/components/proxy/src/guard.rs
+++ b/components/proxy/src/guard.rs
@@ -1,4 +1,6 @@
-//! From another daemon to the local backend server, which only this daemon sends to.
+//! The guard side of the request path: from an entry daemon to the local backend server, which
+//! only this daemon sends to. A request is admitted here before the server sees it, so that the
+//! server is never given more than its slots, and a request refused here certainly did not run.
 
 use std::{
     sync::{Arc, PoisonError},
@@ -16,164 +18,177 @@
 use tokio::time::Instant;
 
 use crate::{
-    answer::{OwnAnswer, lost_answer, own_answer, refuse, refuse_until},
+    abandoned::AbandonLog,
+    answer::{DaemonAnswer, daemon_answer, error_answer, refuse, refuse_with_delay},
     body::{CheckedBody, ProxyBody},
     call::GuardCall,
-    claim::{ClaimHold, ClaimKey, ClaimVerdict},
+    claim::{ClaimKey, ClaimVerdict, PendingClaim},
     clock::process_now,
     context::GuardContext,
-    departure::DepartureNote,
-    exchange::{AdmittedRequest, PassStage, send},
-    fetch::{ComingCount, fetch_body},
+    exchange::{AdmittedRequest, SendStage, send},
     gate::AdmitPermit,
     headers::{KEY_HEADER, header_text, strip_hop_headers, strip_own_headers},
-    hints::{write_calls, write_figures, write_held},
+    hints::{write_failed_calls, write_figures, write_guard_time},
     local::GuardedServer,
     outcome::{EARLIER_STATUS_HEADER, RefusalKind, RequestOutcome},
+    receive::{IncomingCount, receive_body},
     times::TimeStage,
     transfers::is_large,
 };
 
-/// How a request came to this daemon.
+/// How a request reached this daemon.
 #[derive(Clone, Copy, Debug)]
 struct CallArrival {
     at: Instant,
     deadline: Instant,
-    /// Whether its body comes over the instance's link.
-    over_link: bool,
+    /// Whether its body arrives over the instance's link.
+    is_over_link: bool,
 }
 
-/// Takes one request from another daemon. `accepted_at` is when its connection was accepted, on the
-/// clock that trips are measured by.
-pub(crate) async fn guard(
+/// Handles one request from another daemon. `accepted_at` is when its connection was accepted, on
+/// the clock of [`transit_now`](crate::clock::transit_now).
+pub(crate) async fn handle_peer_request(
     context: Arc<GuardContext>,
     request: Request<Incoming>,
     accepted_at: Duration,
 ) -> Response<ProxyBody> {
-    let (call, late) = match GuardCall::read(request.headers()) {
+    let (call, transit_delay) = match GuardCall::read(request.headers()) {
         _ if !context.token.is_in(request.headers()) => {
             let kind = RefusalKind::Unauthorized;
             context.counters.count_refusal(kind);
-            return own_answer(StatusCode::FORBIDDEN, RequestOutcome::NotRun, kind);
+            return daemon_answer(StatusCode::FORBIDDEN, RequestOutcome::NotRun, kind);
         }
         None => {
             let kind = RefusalKind::Malformed;
-            return own_answer(StatusCode::BAD_REQUEST, RequestOutcome::NotRun, kind);
+            return daemon_answer(StatusCode::BAD_REQUEST, RequestOutcome::NotRun, kind);
         }
         Some(mut call) => {
             let mut clocks = context.trips.lock().unwrap_or_else(PoisonError::into_inner);
-            let late = call.arrive(&mut clocks, accepted_at);
-            (call, late)
+            let transit_delay = call.mark_received(&mut clocks, accepted_at);
+            (call, transit_delay)
         }
     };
     let version = request.version();
     let request = request.map(|body| CheckedBody::new(body, version).boxed_unsync());
-    pass(context, request, call, Some(late)).await
+    forward_to_server(context, request, call, Some(transit_delay)).await
 }
 
-/// Passes one request to the local backend server, or refuses it as not run.
+/// Forwards one request to the local backend server, or refuses it as not run.
 ///
-/// Also the way of a request whose endpoint is beside the very daemon that it entered by. `late` is
-/// what a call of another daemon has lost on its way.
-pub(crate) async fn pass(
+/// Requests whose endpoint is beside their own entry daemon also come here, without a
+/// `transit_delay`: this is the time that a call from another daemon was delayed in transit.
+pub(crate) async fn forward_to_server(
     context: Arc<GuardContext>,
     mut request: Request<ProxyBody>,
     call: GuardCall,
-    late: Option<Duration>,
+    transit_delay: Option<Duration>,
 ) -> Response<ProxyBody> {
     strip_hop_headers(request.headers_mut());
     strip_own_headers(request.headers_mut());
     let attempt = context.words.attempt(request.headers()).cloned();
     let at = Instant::now();
     let deadline = context.drain.bound(at + call.context().remaining);
-    let arrival = CallArrival { at, deadline, over_link: late.is_some() };
-    let mut note = DepartureNote::new(attempt, at, late.unwrap_or_default());
-    let passed = pass_admitted(&context, request, &call, arrival, &mut note.stage);
-    let mut response = match context.drain.await_until(deadline, GUARD_GRACE, passed).await {
+    let arrival = CallArrival { at, deadline, is_over_link: transit_delay.is_some() };
+    let mut abandon_log = AbandonLog::new(attempt, at, transit_delay.unwrap_or_default());
+    let answer = admit_and_send(&context, request, &call, arrival, &mut abandon_log.stage);
+    let mut response = match context.drain.await_until(deadline, GUARD_GRACE, answer).await {
         Some(response) => response,
-        // Dropping the exchange has closed its connection, which tells the server to give up, and
-        // a late answer has no way left to any caller.
-        None => match note.stage {
-            PassStage::Waiting => refuse(RefusalKind::DeadlineTooNear),
-            PassStage::Sent | PassStage::Resent => {
-                lost_answer(RefusalKind::DeadlinePassed, RequestOutcome::Unknown)
+        // Dropping the exchange has closed its connection, which tells the server to stop, and a
+        // late answer can no longer reach any caller.
+        None => match abandon_log.stage {
+            SendStage::Waiting => refuse(RefusalKind::DeadlineTooNear),
+            SendStage::Sent | SendStage::Resent => {
+                error_answer(RefusalKind::DeadlinePassed, RequestOutcome::Unknown)
             }
         },
     };
-    let attempt = note.end();
+    let attempt = abandon_log.disarm();
     if let Some(kind) = RefusalKind::read(response.headers()) {
         context.counters.count_refusal(kind);
     }
     if response.status().is_server_error()
         && let Some(calls) = context.failed_calls.take(header_text(attempt.as_ref()))
     {
-        write_calls(response.headers_mut(), &calls);
+        write_failed_calls(response.headers_mut(), &calls);
     }
-    write_held(response.headers_mut(), at.elapsed());
+    write_guard_time(response.headers_mut(), at.elapsed());
     response
 }
 
-async fn pass_admitted(
+/// Admits a request, claims it if it has a key, and sends it to the server.
+async fn admit_and_send(
     context: &Arc<GuardContext>,
     request: Request<ProxyBody>,
     call: &GuardCall,
     arrival: CallArrival,
-    stage: &mut PassStage,
+    stage: &mut SendStage,
 ) -> Response<ProxyBody> {
     let server = context.servers.guarded(&call.service);
     let Some(server) = server.filter(|server| *server.id == *call.server) else {
-        return refuse_until(RefusalKind::ServerGone, Duration::ZERO);
+        return refuse_with_delay(RefusalKind::ServerGone, Duration::ZERO);
     };
-    let alone = match judge_suspect(context, &request, call) {
-        QuarantineVerdict::Refused(left) => return refuse_until(RefusalKind::Quarantined, left),
+    let alone = match judge_quarantine(context, &request, call) {
+        QuarantineVerdict::Refused(remaining) => {
+            return refuse_with_delay(RefusalKind::Quarantined, remaining);
+        }
         verdict => verdict == QuarantineVerdict::TryAlone,
     };
     let deadline = arrival.deadline;
     let offer = guard_request(call, deadline, alone);
-    let (request, offer) = match arrival.over_link && !request.body().is_end_stream() {
-        true => match take_in(&server, request, offer).await {
+    let (request, offer) = match arrival.is_over_link && !request.body().is_end_stream() {
+        true => match receive_upload(&server, request, offer).await {
             Ok(taken) => taken,
             Err(response) => return *response,
         },
         false => (request, offer),
     };
-    let fetched = arrival.at.elapsed();
+    let upload_time = arrival.at.elapsed();
     let permit = match admit(context, &server, call, &offer).await {
         Ok(permit) => permit,
         Err(refusal) => return refuse_admission(&server, refusal),
     };
     let key = claim_key(&request, call);
-    let hold = match claim(context, key, deadline).await {
-        Ok(hold) => hold,
+    let claim = match claim(context, key, deadline).await {
+        Ok(claim) => claim,
         Err(response) => return *response,
     };
     let admitted_at = Instant::now();
-    let admitted = AdmittedRequest { permit, hold, fetched, admitted_at, deadline };
+    let admitted = AdmittedRequest { permit, claim, upload_time, admitted_at, deadline };
     send(context, &server, request, call, admitted, stage).await
 }
 
-/// Takes the body of a request off the link, if it is worth that, and gives the request with what it is
-/// then offered as.
-async fn take_in(
+/// Receives the body of a request, if the request is worth it, and returns the request with the
+/// adjusted offer to the gate.
+///
+/// # Errors
+///
+/// Returns the refusal of an upload that would not be admitted, or whose body broke off.
+async fn receive_upload(
     server: &GuardedServer,
     request: Request<ProxyBody>,
     offer: GuardRequest,
-) -> Result<(Request<ProxyBody>, GuardRequest), OwnAnswer> {
+) -> Result<(Request<ProxyBody>, GuardRequest), DaemonAnswer> {
     let is_upload = is_large(request.body());
     if is_upload {
-        let considered = server.gate.consider_upload(&offer, &server.uploads.ahead());
+        let considered = server.gate.consider_upload(&offer, &server.upload_transfers.ahead());
         considered.map_err(|refusal| Box::new(refuse_admission(server, refusal)))?;
     }
-    let _coming = ComingCount::new(&server.coming);
-    let request = fetch_body(request, &server.uploads).await.map_err(|err| {
-        log::info!("guard: a request's body broke off: {err}.");
+    let _incoming = IncomingCount::new(&server.incoming);
+    let request = receive_body(request, &server.upload_transfers).await.map_err(|err| {
+        log::info!("guard: the body of a request broke off: {err}.");
         Box::new(refuse(RefusalKind::DeadlineTooNear))
     })?;
-    // The bytes of an upload would have to come again elsewhere, so that it waits here for a slot.
+    // An upload queues here without the limit on its wait, because its bytes would have to be sent
+    // again to any other endpoint.
     let most_wait = offer.most_wait.filter(|_| !is_upload);
     Ok((request, GuardRequest { most_wait, ..offer }))
 }
 
+/// Waits for the admission of a request and observes how long that took.
+///
+/// # Errors
+///
+/// Returns the final [`Refusal`]; the request did not run.
 async fn admit(
     context: &GuardContext,
     server: &GuardedServer,
@@ -188,9 +203,10 @@
     admitted
 }
 
+/// Creates the answer for a refusal by the gate.
 fn refuse_admission(server: &GuardedServer, refusal: Refusal) -> Response<ProxyBody> {
     let Refusal { reason, retry_after, figures } = refusal;
-    let mut response = refuse_until(server.refusal_kind(reason), retry_after);
+    let mut response = refuse_with_delay(server.refusal_kind(reason), retry_after);
     server.hints().write(response.headers_mut());
     if let Some(figures) = figures {
         write_figures(response.headers_mut(), &figures);
@@ -198,9 +214,8 @@
     response
 }
 
-/// Decides how a request may run that was at a server when it died, and tells the log where that is
-/// not as any other.
-fn judge_suspect(
+/// Returns how a request may run that may have crashed a server, and logs it if it is restricted.
+fn judge_quarantine(
     context: &GuardContext,
     request: &Request<ProxyBody>,
     call: &GuardCall,
@@ -213,23 +228,24 @@
         QuarantineVerdict::Clear => {}
         QuarantineVerdict::TryAlone => log::info!(
             attempt, fingerprint:%;
-            "guard: a request was at a server that died and runs alone now."
+            "guard: a request that was running on a crashed server is run alone."
         ),
-        QuarantineVerdict::Refused(left) => log::warn!(
-            attempt, fingerprint:%, left_ms = left.as_millis() as u64;
-            "guard: a request that crashed servers is refused."
+        QuarantineVerdict::Refused(remaining) => log::warn!(
+            attempt, fingerprint:%, left_ms = remaining.as_millis() as u64;
+            "guard: refused a quarantined request: servers crashed while running it."
         ),
     }
     verdict
 }
 
+/// Describes a call for the admission to the gate.
 fn guard_request(call: &GuardCall, deadline: Instant, alone: bool) -> GuardRequest {
-    let left = deadline.saturating_duration_since(Instant::now());
+    let remaining = deadline.saturating_duration_since(Instant::now());
     let now = process_now();
     GuardRequest {
         class: call.class,
         flow: call.flow(),
-        deadline: now + left,
+        deadline: now + remaining,
         alone,
         goal: call.goal().map(|goal| now + goal),
         rank: call.rank,
@@ -238,33 +254,39 @@
     }
 }
 
-/// Names a request that may run once only and brings a key.
+/// Returns the claim key of a request that may run only once and has an `Idempotency-Key`.
 fn claim_key(request: &Request<ProxyBody>, call: &GuardCall) -> Option<ClaimKey> {
     let key = request.headers().get(KEY_HEADER).filter(|_| !call.is_repeatable)?;
     let key = String::from_utf8_lossy(key.as_bytes()).into_owned();
     Some(ClaimKey { service: call.service.clone(), key })
 }
 
+/// Claims a keyed request; `None` if it has no key.
+///
+/// # Errors
+///
+/// Returns the answer to a request that may not run, because another copy of it holds the claim or
+/// claims are unavailable.
 async fn claim(
     context: &GuardContext,
     key: Option<ClaimKey>,
     deadline: Instant,
-) -> Result<Option<ClaimHold>, OwnAnswer> {
+) -> Result<Option<PendingClaim>, DaemonAnswer> {
     let Some(key) = key else { return Ok(None) };
     let unavailable = || Box::new(refuse(RefusalKind::ClaimsUnavailable));
     let Some(gate) = &context.claims else { return Err(unavailable()) };
-    let verdict = match ClaimHold::claim(gate.clone(), key, deadline.into_std()).await {
-        Ok(hold) => return Ok(Some(hold)),
+    let verdict = match PendingClaim::claim(gate.clone(), key, deadline.into_std()).await {
+        Ok(claim) => return Ok(Some(claim)),
         Err(verdict) => verdict,
     };
     Err(match verdict {
         ClaimVerdict::AlreadyRan { status } => {
-            let mut response = lost_answer(RefusalKind::AlreadyRan, RequestOutcome::Ran);
+            let mut response = error_answer(RefusalKind::AlreadyRan, RequestOutcome::Ran);
             response.headers_mut().insert(EARLIER_STATUS_HEADER, status.into());
             Box::new(response)
         }
         ClaimVerdict::AlreadyClaimed => {
-            Box::new(lost_answer(RefusalKind::AlreadyClaimed, RequestOutcome::Unknown))
+            Box::new(error_answer(RefusalKind::AlreadyClaimed, RequestOutcome::Unknown))
         }
         _ => unavailable(),
     })
--- /dev/null
+++ b/components/proxy/src/open_exchange.rs
@@ -0,0 +1,53 @@
+//! The open exchange behind an answer of the local backend server: it holds the slot and the
+//! connection until the answer's body ends, so that neither is reused while bytes of this answer
+//! remain.
+
+use std::sync::Arc;
+
+use sk_decide::quarantine::Fingerprint;
+
+use crate::{
+    body::BodyError, context::GuardContext, gate::AdmitPermit, local::GuardedServer,
+    pool::ServerSender, quarantine::check_for_crash, tracked_body::BodyEndHandler,
+};
+
+/// An exchange whose answer is still being read. If its caller leaves, it is dropped, and the
+/// connection is closed unread.
+pub(crate) struct OpenExchange {
+    pub(crate) context: Arc<GuardContext>,
+    pub(crate) server: Arc<GuardedServer>,
+    pub(crate) fingerprint: Fingerprint,
+    pub(crate) sender: ServerSender,
+    pub(crate) permit: AdmitPermit,
+}
+
+impl OpenExchange {
+    /// Ends an exchange whose answer was read completely: its connection may be used again.
+    fn complete(self) {
+        self.context.quarantine.record_success(self.fingerprint);
+        self.server.pool.release(self.sender);
+        self.permit.finish();
+    }
+
+    /// Ends an exchange whose connection broke within the answer.
+    fn fail(self) {
+        self.permit.record_broken();
+        let (quarantine, servers) = (&self.context.quarantine, &self.context.servers);
+        check_for_crash(quarantine.clone(), servers.clone(), self.server.clone());
+    }
+}
+
+impl BodyEndHandler for OpenExchange {
+    fn on_complete(self) {
+        self.complete();
+    }
+
+    fn on_failure(self, err: &BodyError) {
+        match err {
+            // Nothing is wrong with the connection. Dropped unread, it is closed, and the server
+            // can tell that nobody waits.
+            BodyError::DeadlinePassed => {}
+            _ => self.fail(),
+        }
+    }
+}
--- a/components/proxy/src/peers.rs
+++ b/components/proxy/src/peers.rs
@@ -1,4 +1,5 @@
-//! Connections to the guards of other daemons.
+//! Connections to the guards of other daemons: one HTTP/2 connection to each, opened on demand,
+//! with pings that detect a peer that has gone silent.
 
 use std::{
     collections::HashMap,
@@ -28,105 +29,106 @@
 use crate::{
     body::ProxyBody,
     call::{GuardCall, GuardToken},
-    clock::{process_now, trip_now, whole_micros},
-    sockets::watch_silence,
+    clock::{process_now, transit_now, whole_micros},
+    sockets::probe_opened,
 };
 
-/// Time for a connection to another instance. Five round trips between regions; an instance that
-/// is gone answers nothing at all.
+/// Time for a connection to another instance to open. Five round trips between regions; an
+/// instance that is gone answers nothing at all.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time between pings while requests are in flight. An instance that lost its power sends no reset;
+/// Time between pings while requests are in flight. An instance that lost power sends no reset;
 /// without pings each request to it would wait for its whole deadline.
 const PING_INTERVAL: Duration = Duration::from_secs(2);
-/// Time until a ping counts as lost.
+/// Time after which an unanswered ping counts as lost.
 const PING_TIMEOUT: Duration = Duration::from_secs(3);
-/// Idle time after which a connection is closed when another is opened, so that a daemon does not hold
-/// one to each other for good.
+/// Idle time after which a connection is closed when another is opened, so that a daemon does not
+/// keep a connection to each other daemon forever.
 const IDLE_LIMIT: Duration = Duration::from_secs(60);
 /// Largest head of an answer, in bytes.
 const MAX_HEAD_BYTES: u32 = 64 * 1024;
-/// Bytes in flight of one answer. Bounds what a slow caller holds in memory here, and what a large
-/// answer puts before short ones on a slow link: 18 ms at 7.5 Mbit/s. Within a region, where a round
-/// trip takes two milliseconds, it still lets 8 megabytes a second through.
+/// Bytes in flight of one answer. Bounds the memory that a slow caller occupies here, and the
+/// bytes of a large answer that delay short ones on a slow link: 18 ms at 7.5 Mbit/s. Within a
+/// region, where a round trip takes two milliseconds, it still allows 8 megabytes per second.
 const STREAM_WINDOW: u32 = 16 * 1024;
 /// Bytes in flight of all answers of one peer.
 const CONNECTION_WINDOW: u32 = 2 * 1024 * 1024;
 
-/// Departed callers' requests that are remembered, so that frames of answers which cross with their
-/// resets are dropped in silence. Those forgotten are answered with a reset each, which the library
-/// counts over the life of the connection and by default ends it at the thousandth, with all
-/// requests on it; that count is switched off towards daemons, which are trusted.
+/// Requests of departed callers that are remembered, so that frames of answers that cross with
+/// their resets are ignored. For a forgotten request the library answers each frame with a reset,
+/// counts these resets over the life of the connection, and by default closes the connection at
+/// the thousandth, with all requests on it. That count is disabled towards daemons, which are
+/// trusted.
 const REMEMBERED_RESETS: usize = 1024;
 
 /// Connections that are tried for one request: one that may have ended unnoticed, and a new one. A
 /// request that was sent is not sent again here.
-const MOST_LINKS: u32 = 2;
+const MAX_CONNECTIONS_TRIED: u32 = 2;
 
-/// Why no connection to another daemon was had.
+/// Why there is no connection to another daemon.
 #[derive(Clone, Debug, Error)]
-pub(crate) enum LinkError {
-    /// Nobody listens there, or nobody can be reached.
-    #[error("not connected: {0}")]
+pub(crate) enum PeerConnectError {
+    /// The guard does not accept the connection or cannot be reached.
+    #[error("guard does not accept connections: {0}")]
     Refused(Arc<io::Error>),
-    /// No answer in time.
-    #[error("not connected in time")]
+    /// The connection did not open in time.
+    #[error("connection did not open in time")]
     Timeout,
     /// The connection failed before anything was sent.
     #[error("connection ended: {0}")]
     Ended(Arc<hyper::Error>),
     /// Each connection was closed as soon as it was open.
-    #[error("connections are closed at once")]
+    #[error("connections are closed as soon as they are open")]
     Closed,
 }
 
 /// Why a request to another daemon has no answer.
 #[derive(Debug, Error)]
 pub(crate) enum PeerError {
-    /// Nothing of it was sent.
+    /// No byte of the request was sent.
     #[error(transparent)]
-    Unsent(LinkError),
-    /// It may have been sent.
+    Unsent(PeerConnectError),
+    /// The request may have been sent.
     #[error(transparent)]
     Lost(hyper::Error),
 }
 
-/// A connection to one guard.
+/// An open connection to one guard.
 #[derive(Clone)]
-struct PeerLink {
+struct PeerConnection {
     sender: SendRequest<ProxyBody>,
     opening: LinkOpening,
 }
 
-type LinkFuture = Shared<BoxFuture<'static, Result<PeerLink, LinkError>>>;
+type ConnectionFuture = Shared<BoxFuture<'static, Result<PeerConnection, PeerConnectError>>>;
 
-/// A connection that is open or being opened.
+/// A connection that is open or being opened, shared by the requests to one guard.
 #[derive(Clone)]
-struct PeerEntry {
-    link: LinkFuture,
-    /// Microsecond on the process's clock at which it was last asked for.
+struct SharedConnection {
+    connection: ConnectionFuture,
+    /// Time of the last use, in microseconds on the process's clock.
     used_us: Arc<AtomicU64>,
 }
 
-type EntryMap = HashMap<Authority, PeerEntry>;
+type ConnectionMap = HashMap<Authority, SharedConnection>;
 
 /// Sends requests to guards, over one HTTP/2 connection to each.
 #[derive(Clone)]
 pub struct PeerClient {
-    entries: Arc<ArcSwap<EntryMap>>,
+    connections: Arc<ArcSwap<ConnectionMap>>,
     token: GuardToken,
 }
 
 impl PeerClient {
-    /// Makes a client without connections.
+    /// Creates a client without connections.
     pub fn new(token: GuardToken) -> Self {
-        Self { entries: Arc::default(), token }
+        Self { connections: Arc::default(), token }
     }
 
-    /// Sends a request to a guard and gives the head of its answer.
+    /// Sends a request to a guard and returns the head of its answer.
     ///
     /// # Errors
     ///
-    /// Returns a [`PeerError`], which tells whether anything was sent.
+    /// Returns a [`PeerError`], which states whether anything was sent.
     pub(crate) async fn send(
         &self,
         mut request: Request<ProxyBody>,
@@ -135,19 +137,20 @@
     ) -> Result<Response<Incoming>, PeerError> {
         address_to(&mut request, guard);
         self.token.write(request.headers_mut());
-        let mut ended = LinkError::Closed;
-        for _ in 0..MOST_LINKS {
+        let mut ended = PeerConnectError::Closed;
+        for _ in 0..MAX_CONNECTIONS_TRIED {
             let asked_at = Instant::now();
-            let entry = self.entry(guard);
-            let link = entry.link.clone().await.inspect_err(|_| self.remove(guard, &entry));
-            let mut link = link.map_err(PeerError::Unsent)?;
-            if link.sender.is_closed() {
-                self.remove(guard, &entry);
+            let shared = self.connection_to(guard);
+            let connection =
+                shared.connection.clone().await.inspect_err(|_| self.remove(guard, &shared));
+            let mut connection = connection.map_err(PeerError::Unsent)?;
+            if connection.sender.is_closed() {
+                self.remove(guard, &shared);
                 continue;
             }
-            call.depart(asked_at.elapsed(), link.opening);
+            call.mark_sent(asked_at.elapsed(), connection.opening);
             call.write(request.headers_mut());
-            let mut failure = match link.sender.try_send_request(request).await {
+            let mut failure = match connection.sender.try_send_request(request).await {
                 Ok(response) => return Ok(response),
                 Err(failure) => failure,
             };
@@ -157,55 +160,61 @@
                 Some(unsent) => request = unsent,
                 None => return Err(PeerError::Lost(err)),
             }
-            self.remove(guard, &entry);
-            ended = LinkError::Ended(Arc::new(err));
+            self.remove(guard, &shared);
+            ended = PeerConnectError::Ended(Arc::new(err));
         }
         Err(PeerError::Unsent(ended))
     }
 
-    /// Gives the connection to a guard, which is opened if there is none.
-    fn entry(&self, guard: &Authority) -> PeerEntry {
-        if let Some(entry) = self.entries.load().get(guard) {
-            entry.touch();
-            return entry.clone();
+    /// Returns the connection to a guard, which is opened if there is none.
+    fn connection_to(&self, guard: &Authority) -> SharedConnection {
+        if let Some(shared) = self.connections.load().get(guard) {
+            shared.touch();
+            return shared.clone();
         }
-        let new = PeerEntry::open(guard.clone());
-        let before = self.entries.rcu(|entries| {
-            let mut entries = EntryMap::clone(entries);
-            entries.retain(|_, entry| !entry.is_idle());
-            entries.entry(guard.clone()).or_insert_with(|| new.clone());
-            entries
+        let new = SharedConnection::open(guard.clone());
+        let before = self.connections.rcu(|connections| {
+            let mut connections = ConnectionMap::clone(connections);
+            connections.retain(|_, shared| !shared.is_idle());
+            connections.entry(guard.clone()).or_insert_with(|| new.clone());
+            connections
         });
         match before.get(guard) {
-            // Another request has begun to open one meanwhile.
-            Some(entry) => entry.clone(),
+            // Another request has started to open one meanwhile.
+            Some(shared) => shared.clone(),
             None => {
-                // Goes on when the request that asked for it ends: others wait for it too.
-                tokio::spawn(new.link.clone());
+                // Continues when the request that asked for it ends, because others wait for it
+                // too.
+                tokio::spawn(new.connection.clone());
                 new
             }
         }
     }
 
-    /// Removes a connection that is no longer of use, unless another has taken its place.
-    fn remove(&self, guard: &Authority, entry: &PeerEntry) {
-        self.entries.rcu(|entries| {
-            let mut entries = EntryMap::clone(entries);
-            if entries.get(guard).is_some_and(|held| held.link.ptr_eq(&entry.link)) {
-                entries.remove(guard);
+    /// Removes a connection that is no longer usable, unless another has replaced it.
+    fn remove(&self, guard: &Authority, shared: &SharedConnection) {
+        self.connections.rcu(|connections| {
+            let mut connections = ConnectionMap::clone(connections);
+            if connections
+                .get(guard)
+                .is_some_and(|current| current.connection.ptr_eq(&shared.connection))
+            {
+                connections.remove(guard);
             }
-            entries
+            connections
         });
     }
 }
 
-impl PeerEntry {
+impl SharedConnection {
     fn open(guard: Authority) -> Self {
-        let entry = Self { link: open_link(guard).boxed().shared(), used_us: Arc::default() };
-        entry.touch();
-        entry
+        let shared =
+            Self { connection: open_connection(guard).boxed().shared(), used_us: Arc::default() };
+        shared.touch();
+        shared
     }
 
+    /// Records a use now.
     fn touch(&self) {
         self.used_us.store(whole_micros(process_now()), Ordering::Relaxed);
     }
@@ -222,20 +231,21 @@
     parts.scheme = Some(http::uri::Scheme::HTTP);
     parts.authority = Some(guard.clone());
     parts.path_and_query.get_or_insert_with(|| http::uri::PathAndQuery::from_static("/"));
-    *request.uri_mut() = Uri::from_parts(parts).expect("scheme, authority and path are there");
+    *request.uri_mut() = Uri::from_parts(parts).expect("scheme, authority and path are set");
     *request.version_mut() = http::Version::HTTP_2;
 }
 
-async fn open_link(guard: Authority) -> Result<PeerLink, LinkError> {
-    let began = trip_now();
+/// Opens an HTTP/2 connection to a guard.
+async fn open_connection(guard: Authority) -> Result<PeerConnection, PeerConnectError> {
+    let began = transit_now();
     let connect = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(guard.as_str())).await;
     let stream = connect
-        .map_err(|_| LinkError::Timeout)?
-        .map_err(|err| LinkError::Refused(Arc::new(err)))?;
-    let opening = LinkOpening { began, took: trip_now().saturating_sub(began) };
+        .map_err(|_| PeerConnectError::Timeout)?
+        .map_err(|err| PeerConnectError::Refused(Arc::new(err)))?;
+    let opening = LinkOpening { began, took: transit_now().saturating_sub(began) };
     // A small request must not wait for the acknowledgement of the one before.
-    stream.set_nodelay(true).map_err(|err| LinkError::Refused(Arc::new(err)))?;
-    watch_silence(&stream);
+    stream.set_nodelay(true).map_err(|err| PeerConnectError::Refused(Arc::new(err)))?;
+    probe_opened(&stream);
     let (sender, connection) = http2::Builder::new(TokioExecutor::new())
         .timer(TokioTimer::new())
         .initial_stream_window_size(STREAM_WINDOW)
@@ -247,11 +257,11 @@
         .keep_alive_timeout(PING_TIMEOUT)
         .handshake(TokioIo::new(stream))
         .await
-        .map_err(|err| LinkError::Ended(Arc::new(err)))?;
+        .map_err(|err| PeerConnectError::Ended(Arc::new(err)))?;
     tokio::spawn(async move {
         if let Err(err) = connection.await {
-            log::debug!("proxy: a connection to {guard} ended: {err}.");
+            log::debug!("proxy: the connection to guard {guard} ended: {err}.");
         }
     });
-    Ok(PeerLink { sender, opening })
+    Ok(PeerConnection { sender, opening })
 }
--- a/components/proxy/src/quarantine.rs
+++ b/components/proxy/src/quarantine.rs
@@ -1,4 +1,5 @@
-//! Requests held back because they crashed servers, as all daemons know them.
+//! Quarantine of requests that crash servers, shared by all daemons. Without it, a caller that
+//! repeats such a request would crash one server after the other.
 
 use std::{
     sync::{
@@ -15,22 +16,24 @@
 
 use crate::{
     clock::stable_hash,
-    gate::ServerFlight,
+    gate::InFlightRequest,
     local::{GuardedServer, LocalServers},
 };
 
-/// Time after the first broken connection in which the others of a dead server break too. They are
-/// on the same instance, so it takes well under a millisecond; the rest is for a busy machine.
-const EXAMINE_DELAY: Duration = Duration::from_millis(20);
-/// Broken connections that tell a server's end even if another accepts in its place already.
-const MANY_BROKEN: usize = 2;
+/// Time after the first broken connection in which the other connections of a dead server break
+/// too. They are on the same instance, so it takes well under a millisecond; the rest allows for a
+/// busy machine.
+const CRASH_CHECK_DELAY: Duration = Duration::from_millis(20);
+/// Number of broken connections that prove a server's end, even if another process already accepts
+/// in its place.
+const MIN_CRASH_BREAKS: usize = 2;
 
-/// Suspects and convicted requests of the whole fleet, as far as this daemon has heard.
+/// Suspect and quarantined requests of the whole fleet, as far as this daemon knows.
 pub struct QuarantineBoard {
     table: Mutex<QuarantineTable>,
-    /// Whether any request is held, so that the common request takes no lock.
+    /// Whether there is any record, so that the usual request takes no lock.
     has_records: AtomicBool,
-    /// Counts changes, so that a sender knows when there is news.
+    /// Counts changes, so that a sender knows when there are new records.
     revision: AtomicU64,
 }
 
@@ -41,7 +44,7 @@
 }
 
 impl QuarantineBoard {
-    /// Makes an empty board.
+    /// Creates an empty board.
     pub fn new(settings: QuarantineSettings) -> Self {
         Self {
             table: Mutex::new(QuarantineTable::new(settings)),
@@ -50,12 +53,12 @@
         }
     }
 
-    /// Gives all entries, for other daemons and for a dump.
+    /// Returns all entries, for other daemons and for a dump.
     pub fn entries(&self) -> Vec<SuspectRecord> {
         self.lock().export()
     }
 
-    /// Gives the entries that changed since the last call, to be sent to other daemons.
+    /// Returns the entries that changed since the last call, to be sent to other daemons.
     pub fn take_changed(&self) -> Vec<SuspectRecord> {
         self.lock().take_changed()
     }
@@ -65,17 +68,17 @@
         self.change(|table| table.merge(entries));
     }
 
-    /// Gives a number that grows with each change, also by [`QuarantineBoard::merge`].
+    /// Returns a number that grows with each change, also by [`QuarantineBoard::merge`].
     pub fn revision(&self) -> u64 {
         self.revision.load(Ordering::Acquire)
     }
 
-    /// Gives the number of requests held.
+    /// Returns the number of requests recorded.
     pub fn len(&self) -> usize {
         self.lock().len()
     }
 
-    /// Tells whether no request is held.
+    /// Returns whether no request is recorded.
     pub fn is_empty(&self) -> bool {
         !self.has_records.load(Ordering::Acquire)
     }
@@ -88,26 +91,28 @@
         }
     }
 
-    /// Takes note that a request ran to its end. Skipped while another thread has the table: a
-    /// missed success costs a suspect one more trial, a wait would cost every request.
-    pub(crate) fn note_success(&self, fingerprint: Fingerprint) {
+    /// Records that a request ran to its end. Skipped while another thread has the table: a missed
+    /// success costs a suspect one more trial, while waiting would delay every request.
+    pub(crate) fn record_success(&self, fingerprint: Fingerprint) {
         if let Ok(mut table) = self.table.try_lock() {
             table.record_success(fingerprint, unix_time());
         }
     }
 
-    /// Takes note of a server's death with the requests it had.
-    pub(crate) fn note_crash(&self, server: &str, flights: &[ServerFlight]) {
-        let in_flight: Vec<Fingerprint> = flights.iter().map(|flight| flight.fingerprint).collect();
+    /// Records a server's crash with the requests that it was running.
+    pub(crate) fn record_crash(&self, server: &str, requests: &[InFlightRequest]) {
+        let in_flight: Vec<Fingerprint> =
+            requests.iter().map(|request| request.fingerprint).collect();
         let report = CrashReport {
             occasion: stable_hash(&[server.as_bytes()]),
             at: unix_time(),
             in_flight: &in_flight,
-            is_trial: flights.iter().all(|flight| flight.is_trial),
+            is_trial: requests.iter().all(|request| request.is_trial),
         };
         self.change(|table| table.record_crash(&report));
     }
 
+    /// Applies a change to the table and updates the revision.
     fn change(&self, change: impl FnOnce(&mut QuarantineTable)) {
         let mut table = self.lock();
         table.expire(unix_time());
@@ -121,30 +126,35 @@
     }
 }
 
-/// Finds out, after a connection to a server broke or was refused, whether the server died, and if so holds the
-/// requests it had as suspects.
+/// Checks in the background, after a connection to a server broke or was refused, whether the
+/// server died, and if so records the requests it was running as suspects.
 ///
-/// One broken connection alone may be the server's own choice, as when a handler fails. A server
-/// that died accepts no connection, and all its connections break at once.
-pub(crate) fn examine(
+/// One broken connection alone may be the server's own choice, for example when a handler fails. A
+/// server that died accepts no connection, and all its connections break at once.
+pub(crate) fn check_for_crash(
     board: Arc<QuarantineBoard>,
     servers: Arc<LocalServers>,
     server: Arc<GuardedServer>,
 ) {
-    if server.is_retired() || !server.begin_examination() {
+    if server.is_retired() || !server.begin_crash_check() {
         return;
     }
     tokio::spawn(async move {
-        tokio::time::sleep(EXAMINE_DELAY).await;
-        let all_broke = server.gate.broken_count() >= MANY_BROKEN && server.pool.open_count() == 0;
+        tokio::time::sleep(CRASH_CHECK_DELAY).await;
+        let all_broke =
+            server.gate.broken_count() >= MIN_CRASH_BREAKS && server.pool.open_count() == 0;
         if all_broke || !server.pool.is_accepting().await {
-            let flights = server.gate.take_flights();
-            log::warn!("guard: server {} died with {} requests.", server.id, flights.len());
-            board.note_crash(&server.id, &flights);
+            let in_flight = server.gate.take_in_flight();
+            log::warn!(
+                "guard: server {} crashed while running {} requests; they are suspects now.",
+                server.id,
+                in_flight.len()
+            );
+            board.record_crash(&server.id, &in_flight);
             servers.remove(&server.id);
         } else {
             server.gate.forget_broken();
         }
-        server.end_examination();
+        server.end_crash_check();
     });
 }
