--- a/components/model/src/change.rs
+++ b/components/model/src/change.rs
@@ -7,50 +7,52 @@
 
 use crate::{ChangeId, SettingBody, SettingPath, TeamName, UnixMillis, Version};
 
-/// Writes of a change: a body to hold, or none to withdraw the setting.
+/// Writes of a change by path: the new body, or `None` to withdraw the setting.
 pub type SettingWrites = BTreeMap<SettingPath, Option<SettingBody>>;
 
-/// A change that an operator asks for. It is applied whole or not at all.
+/// A change that an operator submits. It is applied as a whole or not at all.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ChangeRequest {
-    /// Chosen by the operator; the same id never takes effect twice.
+    /// Identifier chosen by the operator; the same identifier never takes effect twice.
     pub change_id: ChangeId,
     /// The team whose subtree changes.
     pub team: TeamName,
-    /// Who asks, as shown in reports.
+    /// Author of the change, as shown in reports.
     pub author: String,
     /// Revision of the declarations in version control.
     pub revision: String,
-    /// Version of the team's subtree that the operator saw, zero for none.
+    /// Version of the team's subtree that the operator last read, 0 for none.
     pub base: Version,
-    /// What to write and what to withdraw.
+    /// Settings to write and to withdraw.
     pub writes: SettingWrites,
 }
 
-/// A change that was accepted, as history keeps it.
+/// An accepted change, as the history keeps it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ChangeRecord {
-    /// The version the change became.
+    /// The version that the change created.
     pub version: Version,
-    /// The operator's id for it.
+    /// The identifier that the operator chose.
     pub change_id: ChangeId,
     /// The team whose subtree changed.
     pub team: TeamName,
-    /// Who asked for it.
+    /// Author of the change.
     pub author: String,
     /// Revision of the declarations in version control.
     pub revision: String,
-    /// When it was accepted, on the accepting daemon's clock.
+    /// When the change was accepted, on the accepting daemon's clock.
     pub accepted_at: UnixMillis,
-    /// Paths that were written.
+    /// Paths of the written settings.
     pub written: Vec<SettingPath>,
-    /// Paths that were withdrawn.
+    /// Paths of the withdrawn settings.
     pub withdrawn: Vec<SettingPath>,
 }
 
-/// Gives the writes that lead from the accepted settings to the declared ones.
+/// Returns the writes that turn the accepted settings into the declared ones.
+///
+/// Settings that are equal on both sides are not written.
 pub fn make_writes(
     accepted: &BTreeMap<SettingPath, SettingBody>,
     declared: &BTreeMap<SettingPath, SettingBody>,
--- a/components/model/src/lib.rs
+++ b/components/model/src/lib.rs
@@ -1,6 +1,7 @@
 //! Declarations, services, routes and whole configuration snapshots.
 //!
-//! Everything here is plain data with pure functions, but for the one reader of the time of day.
+//! Everything here is plain data with pure functions, except for the functions that read the wall
+//! clock.
 
 mod ack;
 mod change;
@@ -29,17 +30,17 @@
 pub use snapshot::{ConfigSnapshot, SnapshotRoot, TeamTree, TreeRef};
 pub use validate::{ConfigFault, validate_trees};
 
-/// Number of an accepted configuration. Zero stands for "no configuration yet".
+/// Number of an accepted configuration. Zero means that there is no configuration yet.
 pub type Version = u64;
 /// Hexadecimal SHA-256 of a canonical encoding.
 pub type ContentHash = String;
-/// Path of the service setting that declares a service.
+/// Name of a service: the path of the setting that declares it.
 pub type ServiceName = SettingPath;
-/// Name of one daemon, unique in the fleet, taken from its settings.
+/// Name of one daemon, unique in the fleet; set in the daemon's settings.
 pub type ProxyId = String;
 /// Name of a data centre.
 pub type DataCentre = String;
-/// Identifier an operator gives to a change so that it can be looked up later.
+/// Identifier that an operator chooses for a change, to look it up later.
 pub type ChangeId = String;
-/// Milliseconds since the Unix epoch, on the clock of whoever wrote them.
+/// Milliseconds since the Unix epoch, on the clock of the process that took the time.
 pub type UnixMillis = u64;
--- a/components/model/src/path.rs
+++ b/components/model/src/path.rs
@@ -1,4 +1,4 @@
-//! Paths of settings and the team each belongs to.
+//! Paths of settings and the team that each belongs to.
 
 use thiserror::Error;
 
@@ -7,19 +7,19 @@
 /// Name of a team: the first segment of a path.
 pub type TeamName = String;
 
-/// Longest path accepted, in bytes. Keeps a whole subtree's index well under a platform value.
+/// Longest accepted path, in bytes. The index of a whole subtree then fits in one platform value.
 pub const MAX_PATH_BYTES: usize = 200;
 
-/// Longest name of a team, in bytes. Leaves two thirds of a path to the team's own segments.
+/// Longest name of a team, in bytes. Two thirds of a path remain for the team's own segments.
 pub const MAX_TEAM_BYTES: usize = 64;
 
-/// A path that is not acceptable.
+/// Why a path or the name of a team is not accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PathError {
     /// The path does not begin with a slash.
     #[error("path `{0}` does not begin with `/`")]
     NotAbsolute(SettingPath),
-    /// The path has no segment below the team.
+    /// The path has no segment after the team.
     #[error("path `{0}` names no setting below its team")]
     TooShort(SettingPath),
     /// The path is longer than [`MAX_PATH_BYTES`], or its team longer than [`MAX_TEAM_BYTES`].
@@ -30,16 +30,16 @@
     BadSegment {
         /// The whole path.
         path: SettingPath,
-        /// The segment at fault.
+        /// The invalid segment.
         segment: String,
     },
 }
 
-/// Checks the shape of a path: `/team/segment…`.
+/// Checks that a path has the form `/team/segment…`.
 ///
 /// # Errors
 ///
-/// Returns a [`PathError`] that names the first fault found.
+/// Returns a [`PathError`] for the first fault found.
 pub fn check_path(path: &str) -> Result<(), PathError> {
     if path.len() > MAX_PATH_BYTES {
         return Err(PathError::TooLong(path.len()));
@@ -56,11 +56,11 @@
     Ok(())
 }
 
-/// Checks the name of a team: one segment of a path, which also becomes part of a platform key.
+/// Checks the name of a team. It is one segment of a path and also becomes part of a platform key.
 ///
 /// # Errors
 ///
-/// Returns a [`PathError`] that names the fault.
+/// Returns a [`PathError`] for a name that is too long or not a valid segment.
 pub fn check_team(team: &str) -> Result<(), PathError> {
     match team {
         team if team.len() > MAX_TEAM_BYTES => Err(PathError::TooLong(team.len())),
@@ -71,11 +71,12 @@
     }
 }
 
-/// Gives the team a path belongs to, or an empty name for a malformed path.
+/// Returns the team that a path belongs to, or an empty name for a malformed path.
 pub fn team_of(path: &str) -> &str {
     path.strip_prefix('/').and_then(|rest| rest.split('/').next()).unwrap_or("")
 }
 
+/// Returns whether a segment is not empty, neither `.` nor `..`, and has allowed characters only.
 fn is_segment(segment: &str) -> bool {
     let allowed = |byte: u8| matches!(byte, b'a'..=b'z' | b'0'..=b'9' | b'-' | b'_' | b'.');
     !segment.is_empty() && segment != "." && segment != ".." && segment.bytes().all(allowed)
--- a/components/model/src/snapshot.rs
+++ b/components/model/src/snapshot.rs
@@ -1,4 +1,7 @@
-//! Whole configurations: a root that names every team's subtree by hash, and the subtrees.
+//! Whole configurations: a root that lists every team's subtree by hash, and the subtrees.
+//!
+//! The hashes let a daemon verify a configuration that it received from another daemon, and fetch
+//! only the subtrees that changed.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -24,7 +27,7 @@
         hash_json(self)
     }
 
-    /// Gives the subtree with the writes applied.
+    /// Returns a copy of the subtree with the writes applied.
     pub fn with_writes(&self, writes: &SettingWrites) -> Self {
         let mut tree = self.clone();
         for (path, body) in writes {
@@ -37,7 +40,7 @@
     }
 }
 
-/// Names one version of a team's subtree.
+/// Reference to one version of a team's subtree.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct TreeRef {
@@ -47,15 +50,15 @@
     pub version: Version,
 }
 
-/// The root of a configuration: enough to verify every part of it.
+/// The root of a configuration, which suffices to verify every subtree.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct SnapshotRoot {
-    /// Version of the configuration, zero for the empty one before the first change.
+    /// Version of the configuration, 0 for the empty configuration before the first change.
     pub version: Version,
-    /// Subtree of each team.
+    /// Reference to the subtree of each team.
     pub trees: BTreeMap<TeamName, TreeRef>,
-    /// The change that made this version. Absent in version zero only.
+    /// The change that created this version. Absent in version 0 only.
     pub change: Option<ChangeRecord>,
 }
 
@@ -66,7 +69,7 @@
     }
 }
 
-/// A whole configuration. Subtrees are shared between versions.
+/// A whole configuration. Versions share the subtrees that did not change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct ConfigSnapshot {
     /// The root.
@@ -76,12 +79,12 @@
 }
 
 impl ConfigSnapshot {
-    /// Gives the version of the configuration.
+    /// Returns the version of the configuration.
     pub fn version(&self) -> Version {
         self.root.version
     }
 
-    /// Tells whether every subtree is present and matches its hash in the root.
+    /// Returns whether every subtree is present and matches its hash in the root.
     pub fn is_intact(&self) -> bool {
         let matches = |(team, tree): (&TeamName, &Arc<TeamTree>)| {
             self.root.trees.get(team).is_some_and(|tree_ref| tree_ref.hash == tree.hash())
@@ -89,7 +92,7 @@
         self.trees.len() == self.root.trees.len() && self.trees.iter().all(matches)
     }
 
-    /// Lists all settings of all teams, in path order within each team.
+    /// Returns all settings of all teams, in path order within each team.
     pub fn settings(&self) -> impl Iterator<Item = (&SettingPath, &SettingBody)> {
         self.trees.values().flat_map(|tree| tree.settings.iter())
     }
--- a/components/model/src/validate.rs
+++ b/components/model/src/validate.rs
@@ -1,4 +1,7 @@
 //! Checks that span a whole configuration.
+//!
+//! They refuse a change that is valid by itself but not together with other teams' settings, such
+//! as a route to a service that does not exist.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -20,17 +23,17 @@
     MissingService {
         /// Path of the route.
         route: SettingPath,
-        /// The service it names.
+        /// The missing service.
         service: ServiceName,
     },
-    /// Two routes claim the same requests, so their order would decide.
+    /// Two routes match the same requests, so their order would decide.
     #[error("routes {first} and {second} both claim {claim}")]
     RouteClash {
         /// Path of the first route.
         first: SettingPath,
         /// Path of the second route.
         second: SettingPath,
-        /// Host and prefix that both claim.
+        /// Host and prefix that both match.
         claim: String,
     },
     /// A path is malformed or lies outside the subtree that holds it.
@@ -46,12 +49,13 @@
     BadBody {
         /// Path of the setting.
         path: SettingPath,
-        /// What is wrong, with what is allowed.
+        /// What is wrong and what is allowed.
         reason: String,
     },
 }
 
-/// Checks subtrees together and lists every fault found; an empty list means that they are valid.
+/// Checks all subtrees together and returns every fault found; the list is empty for a valid
+/// configuration.
 pub fn validate_trees(trees: &BTreeMap<TeamName, Arc<TeamTree>>) -> Vec<ConfigFault> {
     let mut faults = Vec::new();
     let mut services = BTreeSet::new();
@@ -67,6 +71,7 @@
     faults
 }
 
+/// Checks that a setting lies in its team's subtree and that its fields are within bounds.
 fn check_setting(
     team: &TeamName,
     path: &SettingPath,
@@ -81,6 +86,7 @@
     }
 }
 
+/// Checks that the services of all routes exist and that no two routes match the same requests.
 fn check_routes(
     trees: &BTreeMap<TeamName, Arc<TeamTree>>,
     services: &BTreeSet<&SettingPath>,
