--- a/components/store/src/fake.rs
+++ b/components/store/src/fake.rs
@@ -1,4 +1,4 @@
-//! An in-memory platform for tests and for the stand-in.
+//! An in-memory platform for tests and for the platform stand-in.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -11,14 +11,15 @@
 
 use crate::{MAX_VALUE_BYTES, ObjectKey, ObjectStore, Revision, StoreError, StoredObject};
 
-/// What the fake does to one write, taken in order from [`FakeStore::plan_write`].
+/// What happens to one write; planned in order by [`FakeStore::plan_write`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteFault {
-    /// The write goes through.
+    /// The write succeeds.
     None,
     /// The write takes effect and its answer is lost.
     LoseAnswer,
-    /// The write is lost before it takes effect, which its caller cannot tell from a lost answer.
+    /// The write is lost before it takes effect; its caller cannot distinguish this from a lost
+    /// answer.
     LoseRequest,
 }
 
@@ -30,7 +31,7 @@
     write_faults: VecDeque<WriteFault>,
 }
 
-/// An in-memory platform with switches for an outage and for lost answers.
+/// An in-memory platform that can simulate an outage and lost answers.
 pub struct FakeStore {
     state: Mutex<FakeState>,
     changes: watch::Sender<Revision>,
@@ -43,49 +44,51 @@
 }
 
 impl FakeStore {
-    /// Makes an empty platform.
+    /// Creates an empty platform.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Begins or ends an outage, in which every call fails without effect.
+    /// Starts or ends an outage, during which every call fails without effect.
     pub fn set_down(&self, is_down: bool) {
-        self.state().is_down = is_down;
+        self.lock_state().is_down = is_down;
     }
 
-    /// Adds the fault of one further write; writes beyond those planned go through.
+    /// Plans the fault of one more write; writes beyond those planned succeed.
     pub fn plan_write(&self, fault: WriteFault) {
-        self.state().write_faults.push_back(fault);
+        self.lock_state().write_faults.push_back(fault);
     }
 
-    /// Forgets the faults planned and not yet used.
+    /// Removes the planned faults that are not yet used.
     pub fn clear_faults(&self) {
-        self.state().write_faults.clear();
+        self.lock_state().write_faults.clear();
     }
 
-    fn state(&self) -> MutexGuard<'_, FakeState> {
+    fn lock_state(&self) -> MutexGuard<'_, FakeState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn up(&self) -> Result<MutexGuard<'_, FakeState>, StoreError> {
-        let state = self.state();
+    /// Locks the state, or fails during an outage.
+    fn lock_available(&self) -> Result<MutexGuard<'_, FakeState>, StoreError> {
+        let state = self.lock_state();
         if state.is_down {
             return Err(StoreError::Unavailable { reason: "outage".to_owned() });
         }
         Ok(state)
     }
 
+    /// Writes or deletes (`value` is `None`) an object under the planned fault of the write.
     fn write(
         &self,
         key: &str,
         expected: Option<Revision>,
         value: Option<String>,
     ) -> Result<Revision, StoreError> {
-        let mut state = self.up()?;
-        let lost = || StoreError::Unknown { reason: "answer lost".to_owned() };
+        let mut state = self.lock_available()?;
+        let lost_error = || StoreError::Unknown { reason: "answer lost".to_owned() };
         let fault = state.write_faults.pop_front().unwrap_or(WriteFault::None);
         if fault == WriteFault::LoseRequest {
-            return Err(lost());
+            return Err(lost_error());
         }
         if let Some(size) = value.as_ref().map(String::len).filter(|size| *size > MAX_VALUE_BYTES) {
             return Err(StoreError::TooLarge { size });
@@ -107,14 +110,14 @@
         }
         drop(state);
         self.changes.send_replace(revision);
-        if fault == WriteFault::LoseAnswer { Err(lost()) } else { Ok(revision) }
+        if fault == WriteFault::LoseAnswer { Err(lost_error()) } else { Ok(revision) }
     }
 }
 
 #[async_trait]
 impl ObjectStore for FakeStore {
     async fn get(&self, key: &str) -> Result<Option<StoredObject>, StoreError> {
-        Ok(self.up()?.objects.get(key).cloned())
+        Ok(self.lock_available()?.objects.get(key).cloned())
     }
 
     async fn create(&self, key: &str, value: String) -> Result<Revision, StoreError> {
@@ -135,10 +138,10 @@
     }
 
     async fn list(&self, prefix: &str) -> Result<Vec<StoredObject>, StoreError> {
-        let state = self.up()?;
-        let begins = |(key, _): &(&ObjectKey, _)| key.starts_with(prefix);
-        let from_prefix = state.objects.range(prefix.to_owned()..);
-        Ok(from_prefix.take_while(begins).map(|(_, object)| object.clone()).collect())
+        let state = self.lock_available()?;
+        let has_prefix = |(key, _): &(&ObjectKey, _)| key.starts_with(prefix);
+        let candidates = state.objects.range(prefix.to_owned()..);
+        Ok(candidates.take_while(has_prefix).map(|(_, object)| object.clone()).collect())
     }
 
     async fn watch(
--- a/components/store/src/fault.rs
+++ b/components/store/src/fault.rs
@@ -1,4 +1,7 @@
-//! A way to an in-memory platform that fails on demand, for tests.
+//! A client of an in-memory platform whose calls fail on demand, for tests.
+//!
+//! Each client has faults of its own, so a test can fail the calls of one writer while others use
+//! the same platform normally.
 
 use std::{
     collections::VecDeque,
@@ -14,101 +17,103 @@
 
 use crate::{FakeStore, ObjectStore, Revision, StoreError, StoredObject};
 
-/// What happens to one call of a [`FaultStore`], in order.
+/// What happens to one call of a [`FaultStore`]; planned in order by [`FaultStore::plan`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFault {
-    /// The call goes through.
+    /// The call succeeds.
     None,
     /// The call is refused without effect.
     Down,
-    /// This call and all that follow are refused without effect, until the next plan.
+    /// This call and all later ones are refused without effect, until the next plan.
     Outage,
-    /// The caller is suspended before the call until [`FaultStore::resume`].
+    /// The caller is suspended before the call until [`FaultStore::resume`] is called.
     Pause,
-    /// The write takes effect, its answer is lost.
+    /// The write takes effect and its answer is lost.
     LoseAnswer,
-    /// The write never takes effect, which looks like a lost answer.
+    /// The write never takes effect; to its caller this looks like a lost answer.
     LoseRequest,
-    /// The answer is lost at once; the write arrives at [`FaultStore::arrive`].
+    /// The answer is lost at once; the write takes effect at [`FaultStore::arrive`].
     Delay,
-    /// The answer is lost at once; the write arrives so many milliseconds later.
+    /// The answer is lost at once; the write takes effect after this many milliseconds.
     LateBy(u64),
 }
 
-/// One operator's way to a shared platform, which counts and spoils calls.
+/// One client of a shared in-memory platform, which counts calls and injects faults.
 #[derive(Default)]
 pub struct FaultStore {
-    /// The platform.
+    /// The shared platform.
     pub inner: Arc<FakeStore>,
     reads: AtomicUsize,
     writes: AtomicUsize,
-    /// Time each call takes.
+    /// Time that each read and write takes.
     latency: Duration,
-    /// Whether calls yield, and only writes meet faults.
+    /// Whether calls yield to other tasks and faults apply to writes only.
     is_interleaved: bool,
+    /// Faults of the next calls, in order.
     faults: Mutex<VecDeque<CallFault>>,
+    /// Key, expected revision and value of the writes that wait for [`FaultStore::arrive`].
     delayed: Mutex<Vec<(String, Option<Revision>, String)>>,
     is_paused: AtomicBool,
-    gate: Notify,
+    resumed: Notify,
 }
 
 impl FaultStore {
-    /// Makes a way to a platform.
+    /// Creates a client of a platform.
     pub fn new(inner: &Arc<FakeStore>) -> Arc<Self> {
         Self::slow(inner, Duration::ZERO)
     }
 
-    /// Makes a way on which each call takes a time.
+    /// Creates a client on which each read and write takes `latency`.
     pub fn slow(inner: &Arc<FakeStore>, latency: Duration) -> Arc<Self> {
         Arc::new(Self { inner: Arc::clone(inner), latency, ..Self::default() })
     }
 
-    /// Makes a way to a platform of its own on which calls yield, so that callers interleave. Faults
-    /// meet writes only.
+    /// Creates a client of a new platform on which calls yield, so that concurrent callers
+    /// interleave. Faults apply to writes only.
     pub fn interleaved() -> Arc<Self> {
         Arc::new(Self { is_interleaved: true, ..Self::default() })
     }
 
-    /// Sets the faults of the next calls.
+    /// Sets the faults of the next calls and replaces earlier plans.
     pub fn plan(&self, faults: &[CallFault]) {
-        *self.lock() = faults.iter().copied().collect();
+        *self.lock_faults() = faults.iter().copied().collect();
     }
 
-    /// Puts faults before those planned, the last one first.
+    /// Puts faults before those already planned; the last of them happens first.
     pub fn plan_more(&self, faults: &[CallFault]) {
-        let mut planned = self.lock();
+        let mut planned = self.lock_faults();
         faults.iter().for_each(|fault| planned.push_front(*fault));
     }
 
-    /// Resumes all suspended calls; a ledger may have several reads under way.
+    /// Resumes all suspended calls; a ledger may have several reads in flight.
     pub fn resume(&self) {
         if self.is_paused.swap(false, SeqCst) {
-            self.gate.notify_waiters();
+            self.resumed.notify_waiters();
         }
     }
 
-    /// Lets all delayed writes reach the platform, under the conditions they were sent with.
+    /// Delivers all delayed writes to the platform, under the conditions they were sent with.
     pub async fn arrive(&self) {
         let delayed =
             std::mem::take(&mut *self.delayed.lock().unwrap_or_else(PoisonError::into_inner));
         for (key, expected, value) in delayed {
-            // Whether its condition still holds is what a test wants to see.
-            let _ = self.send(&key, expected, value).await;
+            // The condition may no longer hold; the test checks the outcome in the platform.
+            let _ = self.forward_write(&key, expected, value).await;
         }
     }
 
-    /// Writes whatever the revision is, which the platform's border does not offer.
+    /// Writes regardless of the revision, which [`ObjectStore`] does not offer.
     ///
     /// # Errors
     ///
-    /// Returns what the platform answers, or the planned fault.
+    /// Returns the planned fault or the platform's error.
     pub async fn put_blindly(&self, key: &str, value: String) -> Result<Revision, StoreError> {
         self.next_fault().await?;
         let found = self.inner.get(key).await?;
-        self.send(key, found.map(|object| object.revision), value).await
+        self.forward_write(key, found.map(|object| object.revision), value).await
     }
 
-    /// Waits until a task of this store's ends, and tells so, or until it is suspended.
+    /// Waits until a task that uses this store ends or is suspended. Returns whether it ended.
     pub async fn settle<T>(&self, task: &JoinHandle<T>) -> bool {
         while !task.is_finished() && !self.is_paused.load(SeqCst) {
             tokio::task::yield_now().await;
@@ -116,29 +121,32 @@
         task.is_finished()
     }
 
-    /// Gives the reads and writes since the last call.
+    /// Returns the numbers of reads and writes since the last call of this method.
     pub fn take_counts(&self) -> (usize, usize) {
         (self.reads.swap(0, SeqCst), self.writes.swap(0, SeqCst))
     }
 
-    fn lock(&self) -> MutexGuard<'_, VecDeque<CallFault>> {
+    fn lock_faults(&self) -> MutexGuard<'_, VecDeque<CallFault>> {
         self.faults.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Yields to other tasks where calls interleave.
     async fn interleave(&self) {
         if self.is_interleaved {
             tokio::task::yield_now().await;
         }
     }
 
+    /// Takes the fault of the next call; an outage lasts until the next plan.
     fn pop_fault(&self) -> CallFault {
-        let mut faults = self.lock();
+        let mut faults = self.lock_faults();
         match faults.front() {
             Some(CallFault::Outage) => CallFault::Outage,
             _ => faults.pop_front().unwrap_or(CallFault::None),
         }
     }
 
+    /// Waits out the latency and any pauses, and returns the fault of the next call.
     async fn next_fault(&self) -> Result<CallFault, StoreError> {
         if !self.latency.is_zero() {
             tokio::time::sleep(self.latency).await;
@@ -147,7 +155,7 @@
             match self.pop_fault() {
                 CallFault::Pause => {
                     self.is_paused.store(true, SeqCst);
-                    self.gate.notified().await;
+                    self.resumed.notified().await;
                 }
                 CallFault::Down | CallFault::Outage => {
                     return Err(StoreError::Unavailable { reason: "outage".to_owned() });
@@ -157,13 +165,13 @@
         }
     }
 
-    async fn send(
+    async fn forward_write(
         &self,
         key: &str,
         expected: Option<Revision>,
         value: String,
     ) -> Result<Revision, StoreError> {
-        send_to(&self.inner, key, expected, value).await
+        write_to(&self.inner, key, expected, value).await
     }
 
     async fn write(
@@ -174,35 +182,37 @@
     ) -> Result<Revision, StoreError> {
         self.writes.fetch_add(1, SeqCst);
         self.interleave().await;
-        let written = self.write_at_once(key, expected, value).await;
+        let written = self.write_with_fault(key, expected, value).await;
         self.interleave().await;
         written
     }
 
-    async fn write_at_once(
+    async fn write_with_fault(
         &self,
         key: &str,
         expected: Option<Revision>,
         value: String,
     ) -> Result<Revision, StoreError> {
-        let lost = Err(StoreError::Unknown { reason: "answer lost".to_owned() });
+        let lost_answer = Err(StoreError::Unknown { reason: "answer lost".to_owned() });
         match self.next_fault().await? {
-            CallFault::LoseRequest => lost,
-            CallFault::LoseAnswer => self.send(key, expected, value).await.and(lost),
+            CallFault::LoseRequest => lost_answer,
+            CallFault::LoseAnswer => {
+                self.forward_write(key, expected, value).await.and(lost_answer)
+            }
             CallFault::LateBy(millis) => {
-                let (fake, key) = (self.inner.clone(), key.to_owned());
+                let (platform, key) = (self.inner.clone(), key.to_owned());
                 tokio::spawn(async move {
                     tokio::time::sleep(Duration::from_millis(millis)).await;
-                    send_to(&fake, &key, expected, value).await
+                    write_to(&platform, &key, expected, value).await
                 });
-                lost
+                lost_answer
             }
             CallFault::Delay => {
                 let mut delayed = self.delayed.lock().unwrap_or_else(PoisonError::into_inner);
                 delayed.push((key.to_owned(), expected, value));
-                lost
+                lost_answer
             }
-            _ => self.send(key, expected, value).await,
+            _ => self.forward_write(key, expected, value).await,
         }
     }
 }
@@ -252,7 +262,8 @@
     }
 }
 
-async fn send_to(
+/// Replaces the object at revision `expected`, or creates it where that is `None`.
+async fn write_to(
     store: &FakeStore,
     key: &str,
     expected: Option<Revision>,
--- a/components/store/src/http_call.rs
+++ b/components/store/src/http_call.rs
@@ -1,4 +1,7 @@
-//! One HTTP call to the platform, and what is known of its end.
+//! HTTP calls to the platform, with bounded time and answer size.
+//!
+//! A failed call reports whether the platform may have received it, so that a write whose answer
+//! was lost is not taken for one that had no effect.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,40 +17,40 @@
 
 use crate::{MAX_VALUE_BYTES, StoreError};
 
-/// Longest answer read. A listing of the fleet's reports stays far below it.
+/// Largest answer that is read, in bytes. A listing of the fleet's reports stays far below it.
 const MAX_ANSWER_BYTES: usize = 64 * MAX_VALUE_BYTES;
-/// Time until a connection that cannot be opened counts as an outage.
+/// Timeout for opening a connection; after it the platform counts as unavailable.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long idle connections are kept, below the usual server timeout.
+/// How long idle connections are kept. It is below the usual idle timeout of servers.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// When to come back where a refusal names no time.
+/// Wait before the next call where a refusal has no `Retry-After`.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Longest `Retry-After` that is believed; a wrong one would keep a daemon away for hours.
+/// Longest `Retry-After` that is followed; a wrong one would stop a daemon's calls for hours.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
 type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
-/// Makes HTTP calls to the platform over connections that it keeps.
+/// Makes HTTP calls to the platform over pooled connections.
 pub struct HttpCaller {
-    base: String,
+    base_url: String,
     client: ArcSwap<HttpClient>,
 }
 
-/// An answer of the platform, read whole.
+/// A complete answer of the platform.
 #[derive(Clone, Debug)]
 pub struct CallAnswer {
-    /// Status of the answer.
+    /// HTTP status of the answer.
     pub status: StatusCode,
-    /// When a refused caller may come back.
+    /// How long a refused caller is to wait before its next call.
     pub retry_after: Duration,
     /// Body of the answer.
     pub body: Bytes,
 }
 
 impl HttpCaller {
-    /// Makes a caller for the platform at `address` (`host:port`).
+    /// Creates a caller for the platform at `address` (`host:port`).
     pub fn new(address: &str) -> Self {
-        Self { base: format!("http://{address}"), client: ArcSwap::from_pointee(make_client()) }
+        Self { base_url: format!("http://{address}"), client: ArcSwap::from_pointee(make_client()) }
     }
 
     /// Makes one call with a JSON body and reads its answer within `timeout`.
@@ -56,7 +59,7 @@
     ///
     /// Returns [`StoreError::Unavailable`] where no byte can have reached the platform,
     /// [`StoreError::Unknown`] where the answer was lost, and [`StoreError::Protocol`] for a path
-    /// that makes no request.
+    /// that is not a valid URI.
     pub async fn call(
         &self,
         method: Method,
@@ -66,25 +69,25 @@
     ) -> Result<CallAnswer, StoreError> {
         let request = Request::builder()
             .method(method)
-            .uri(format!("{}{path}", self.base))
+            .uri(format!("{}{path}", self.base_url))
             .header(header::CONTENT_TYPE, "application/json")
             .body(Full::new(body))
             .map_err(|err| StoreError::Protocol { reason: err.to_string() })?;
         let client = self.client.load_full();
-        match tokio::time::timeout(timeout, exchange(&client, request)).await {
+        match tokio::time::timeout(timeout, send_request(&client, request)).await {
             Ok(answer) => answer,
             Err(_) => {
-                self.renew(&client);
-                Err(StoreError::Unknown { reason: "no answer in time".to_owned() })
+                self.replace_client(&client);
+                Err(StoreError::Unknown { reason: "no answer within the timeout".to_owned() })
             }
         }
     }
 
-    /// Drops all connections after a call without an answer.
+    /// Drops all pooled connections after a call without an answer.
     ///
-    /// Open connections may have gone silent without a reset while new ones work. One would notice
-    /// as call after call that times out, since the pool hands out the next silent connection.
-    fn renew(&self, used: &Arc<HttpClient>) {
+    /// Open connections may have failed without a reset while new ones work. If they were kept, one
+    /// call after another would time out, because the pool hands out the next failed connection.
+    fn replace_client(&self, used: &Arc<HttpClient>) {
         self.client.compare_and_swap(used, Arc::new(make_client()));
     }
 }
@@ -99,7 +102,7 @@
         .build(connector)
 }
 
-async fn exchange(
+async fn send_request(
     client: &HttpClient,
     request: Request<Full<Bytes>>,
 ) -> Result<CallAnswer, StoreError> {
@@ -125,7 +128,7 @@
     Ok(CallAnswer { status, retry_after, body })
 }
 
-/// Reads when to come back, in seconds, which may have a fraction.
+/// Returns the wait from the header `Retry-After`, in seconds with an optional fraction.
 fn read_retry_after(headers: &HeaderMap) -> Duration {
     let seconds = headers.get(header::RETRY_AFTER).and_then(|value| value.to_str().ok());
     let seconds = seconds.and_then(|seconds| seconds.trim().parse().ok());
--- a/components/store/src/http_store.rs
+++ b/components/store/src/http_store.rs
@@ -1,4 +1,4 @@
-//! The platform's HTTP client.
+//! The HTTP client of the platform's object API.
 
 use std::time::Duration;
 
@@ -12,8 +12,10 @@
     wire::{ConflictAnswer, ListAnswer, WriteAnswer, WriteBody},
 };
 
-/// Added to a watch's own timeout before its answer counts as lost.
+/// Added to the timeout of a watch before its answer counts as lost, as the platform answers only
+/// when that timeout ends.
 const WATCH_GRACE: Duration = Duration::from_secs(2);
+
 /// The platform's object API over HTTP.
 pub struct HttpStore {
     caller: HttpCaller,
@@ -21,17 +23,25 @@
 }
 
 impl HttpStore {
-    /// Makes a client for the platform at `address` (`host:port`), with a bound on each call.
+    /// Creates a client for the platform at `address` (`host:port`); `timeout` bounds each call
+    /// other than a watch.
     pub fn new(address: &str, timeout: Duration) -> Self {
         Self { caller: HttpCaller::new(address), timeout }
     }
 
-    async fn write(&self, method: Method, path: &str, body: Bytes) -> Result<Bytes, StoreError> {
+    /// Makes a call that must succeed and returns the body of its answer.
+    async fn call_write(
+        &self,
+        method: Method,
+        path: &str,
+        body: Bytes,
+    ) -> Result<Bytes, StoreError> {
         let answer = self.caller.call(method, path, body, self.timeout).await?;
-        answer.success()
+        answer.require_success()
     }
 
-    async fn put(
+    /// Creates an object, or replaces it where `expected` names its revision.
+    async fn write_object(
         &self,
         key: &str,
         expected: Option<Revision>,
@@ -41,9 +51,9 @@
             return Err(StoreError::TooLarge { size: value.len() });
         }
         let body = encode(&WriteBody { key: key.to_owned(), expected, value })?;
-        let body = self.write(Method::PUT, "/v1/object", body).await;
-        let body = body.map_err(|err| name_key(err, key))?;
-        // The write took effect, only its revision cannot be read.
+        let body = self.call_write(Method::PUT, "/v1/object", body).await;
+        let body = body.map_err(|err| add_conflict_key(err, key))?;
+        // The write took effect even where its new revision cannot be decoded.
         let answer: Result<WriteAnswer, StoreError> = decode(&body);
         answer
             .map(|answer| answer.revision)
@@ -52,12 +62,12 @@
 }
 
 trait AnswerBody {
-    /// Gives the body of a success, or the failure that the status stands for.
-    fn success(self) -> Result<Bytes, StoreError>;
+    /// Returns the body of a successful answer, or the error that the status stands for.
+    fn require_success(self) -> Result<Bytes, StoreError>;
 }
 
 impl AnswerBody for CallAnswer {
-    fn success(self) -> Result<Bytes, StoreError> {
+    fn require_success(self) -> Result<Bytes, StoreError> {
         match self.status {
             status if status.is_success() => Ok(self.body),
             StatusCode::CONFLICT => {
@@ -80,7 +90,8 @@
     }
 }
 
-fn name_key(err: StoreError, key: &str) -> StoreError {
+/// Adds the key to a conflict, whose answer does not contain it.
+fn add_conflict_key(err: StoreError, key: &str) -> StoreError {
     match err {
         StoreError::Conflict { found, .. } => StoreError::Conflict { key: key.to_owned(), found },
         other => other,
@@ -104,11 +115,11 @@
         if answer.status == StatusCode::NOT_FOUND {
             return Ok(None);
         }
-        decode(&answer.success()?).map(Some)
+        decode(&answer.require_success()?).map(Some)
     }
 
     async fn create(&self, key: &str, value: String) -> Result<Revision, StoreError> {
-        self.put(key, None, value).await
+        self.write_object(key, None, value).await
     }
 
     async fn replace(
@@ -117,19 +128,19 @@
         expected: Revision,
         value: String,
     ) -> Result<Revision, StoreError> {
-        self.put(key, Some(expected), value).await
+        self.write_object(key, Some(expected), value).await
     }
 
     async fn delete(&self, key: &str, expected: Revision) -> Result<(), StoreError> {
         let path = format!("/v1/object?key={key}&expected={expected}");
-        let answer = self.write(Method::DELETE, &path, Bytes::new()).await;
-        answer.map(|_| ()).map_err(|err| name_key(err, key))
+        let answer = self.call_write(Method::DELETE, &path, Bytes::new()).await;
+        answer.map(|_| ()).map_err(|err| add_conflict_key(err, key))
     }
 
     async fn list(&self, prefix: &str) -> Result<Vec<StoredObject>, StoreError> {
         let path = format!("/v1/objects?prefix={prefix}");
         let answer = self.caller.call(Method::GET, &path, Bytes::new(), self.timeout).await?;
-        Ok(decode::<ListAnswer>(&answer.success()?)?.objects)
+        Ok(decode::<ListAnswer>(&answer.require_success()?)?.objects)
     }
 
     async fn watch(
@@ -146,6 +157,6 @@
         if answer.status == StatusCode::NO_CONTENT {
             return Ok(None);
         }
-        decode(&answer.success()?).map(Some)
+        decode(&answer.require_success()?).map(Some)
     }
 }
--- a/components/store/src/lib.rs
+++ b/components/store/src/lib.rs
@@ -1,7 +1,8 @@
 //! The platform's object API behind a trait, with its HTTP client and an in-memory fake.
 //!
-//! The platform is the only place where anything is agreed or kept. Every call and every waiting
-//! watch counts against its rates, so callers of this crate are expected to be few per fleet.
+//! The platform is the only place where daemons agree on state and store it. Every call and every
+//! open watch counts against its rate limits, so only a few daemons of a fleet are expected to use
+//! it at a time.
 
 mod api;
 mod error;
--- a/components/store/src/wire.rs
+++ b/components/store/src/wire.rs
@@ -1,12 +1,13 @@
-//! Bodies of the platform's HTTP protocol, shared by the client and the stand-in.
+//! Bodies of the platform's HTTP protocol, shared by the client and the platform stand-in.
 //!
-//! * `GET /v1/object?key=K` reads, 404 where the key is free.
-//! * `PUT /v1/object` with a [`WriteBody`] creates or replaces, 409 on a conflict.
-//! * `DELETE /v1/object?key=K&expected=R` deletes, 409 on a conflict.
-//! * `GET /v1/objects?prefix=P` lists.
-//! * `GET /v1/watch?key=K&after=R&timeout_ms=T` waits, 204 when nothing changed.
+//! * `GET /v1/object?key=K` reads an object, 404 where the key is free.
+//! * `PUT /v1/object` with a [`WriteBody`] creates or replaces an object, 409 on a conflict.
+//! * `DELETE /v1/object?key=K&expected=R` deletes an object, 409 on a conflict.
+//! * `GET /v1/objects?prefix=P` lists objects.
+//! * `GET /v1/watch?key=K&after=R&timeout_ms=T` waits for a newer revision, 204 on a timeout.
 //!
-//! 429 with `Retry-After` refuses a call over the rate, 503 one during an outage.
+//! A call over the rate limit is refused with 429 and `Retry-After`, a call during an outage with
+//! 503.
 
 use serde::{Deserialize, Serialize};
 
@@ -17,9 +18,9 @@
 pub struct WriteBody {
     /// Key to write.
     pub key: ObjectKey,
-    /// Revision the object must have, none where the key must be free.
+    /// Revision that the object must have, `None` where the key must be free.
     pub expected: Option<Revision>,
-    /// Value to hold.
+    /// Value to store.
     pub value: String,
 }
 
@@ -33,7 +34,7 @@
 /// Answer to a conditional write whose condition did not hold.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ConflictAnswer {
-    /// Revision found, none where the key is free.
+    /// Revision found, `None` where the key is free.
     pub found: Option<Revision>,
 }
 
