--- a/components/logs/src/budget.rs
+++ b/components/logs/src/budget.rs
@@ -1,10 +1,10 @@
-//! How many lines a second are written.
+//! Limits on the number of lines that are written in a second.
 //!
-//! Made for an outage in which every request fails and says so: a thousand lines a second of a
-//! daemon with a tenth of a core take the processor from the requests. Lines beyond the limits are
-//! counted, and the count is written. Failures have a limit of their own, so that routine lines
-//! never push them out. Each call site has a few lines that no other can use up: a stop, a new
-//! configuration or a lost dependency says so once, and would otherwise be left out of a second in
+//! In an outage every request fails and logs a line; a thousand lines a second take the processor
+//! from the requests of a daemon with a tenth of a core. Lines beyond the limits are omitted, and
+//! their count is written. Failures have a limit of their own, so that routine lines never displace
+//! them. Each call site has a few lines that no other call site can use up: a stop, a new
+//! configuration or a lost dependency is logged once, and would otherwise be omitted in a second in
 //! which requests have used up the limit.
 
 use std::{collections::HashMap, time::Duration};
@@ -12,8 +12,8 @@
 use log::Record;
 
 const SECOND: Duration = Duration::from_secs(1);
-/// Lines of one call site in a second that are written whatever other call sites write.
-const SITE_LINES: u32 = 10;
+/// Lines of one call site that are written in a second however many other call sites write.
+const RESERVED_SITE_LINES: u32 = 10;
 
 /// The place in the code that writes a line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
@@ -23,32 +23,32 @@
 }
 
 impl CallSite {
-    /// Makes one of a source file and a line in it, from 1.
+    /// Creates a call site from a source file and a line in it, counted from 1.
     pub const fn new(file: &'static str, line: u32) -> Self {
         Self { file: Some(file), line: Some(line) }
     }
 
-    /// Gives that of a record. Records that do not tell theirs share one.
-    pub fn of(record: &Record<'_>) -> Self {
+    /// Returns the call site of a record. Records without one share the default.
+    pub fn of_record(record: &Record<'_>) -> Self {
         Self { file: record.file_static(), line: record.line() }
     }
 }
 
-/// What a line tells.
+/// What a line reports; each class has its own limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LineClass {
-    /// That something went as usual.
+    /// Normal operation.
     Routine,
-    /// That something failed or was refused.
+    /// A failure or a refusal.
     Failure,
 }
 
-/// Lines written in a second at most.
+/// Largest numbers of lines written in a second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LineLimits {
-    /// Routine lines. Default 50: each request of a calm daemon, a sample of a busy one's.
+    /// Routine lines. Default 50: every request of a lightly loaded daemon, a sample under load.
     pub routine: u32,
-    /// Failures. Default 200: more say the same again, and 200 lines cost about 2 ms of a core.
+    /// Failures. Default 200: more lines only repeat, and 200 lines cost about 2 ms of a core.
     pub failures: u32,
 }
 
@@ -58,25 +58,25 @@
     }
 }
 
-/// Lines that were left out in a second that is over.
+/// Numbers of lines that were omitted in a past second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LeftOut {
+pub struct OmittedLines {
     /// Routine lines.
     pub routine: u32,
     /// Failures.
     pub failures: u32,
 }
 
-/// What becomes of a line.
+/// Whether a line is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LineVerdict {
-    /// Whether it is written.
+    /// Whether the line is within the limits and is to be written.
     pub is_written: bool,
-    /// What was left out before, to be told first.
-    pub left_out: Option<LeftOut>,
+    /// Lines omitted in the previous second, to be reported before this line.
+    pub omitted: Option<OmittedLines>,
 }
 
-/// Counts the lines of each second.
+/// Counts the lines of the current second and admits them up to the limits.
 #[derive(Clone, Debug, Default)]
 pub struct LineBudget {
     limits: LineLimits,
@@ -84,42 +84,44 @@
     routine: u32,
     failures: u32,
     sites: HashMap<CallSite, u32>,
-    left_out: LeftOut,
+    omitted: OmittedLines,
 }
 
 impl LineBudget {
-    /// Makes one that has written nothing.
+    /// Creates a budget of which nothing is used.
     pub fn new(limits: LineLimits) -> Self {
         Self { limits, ..Self::default() }
     }
 
-    /// Decides on a line at `now`, a time on any clock that never goes back.
-    pub fn take(&mut self, class: LineClass, site: CallSite, now: Duration) -> LineVerdict {
+    /// Decides whether a line at `now` is written and counts it. `now` is the time since any fixed
+    /// moment, on a clock that never goes back.
+    pub fn admit(&mut self, class: LineClass, site: CallSite, now: Duration) -> LineVerdict {
         let second = now.as_secs() / SECOND.as_secs();
-        let left_out = (second != self.second).then(|| self.begin(second)).flatten();
-        let (count, limit, left) = match class {
+        let omitted = (second != self.second).then(|| self.start_second(second)).flatten();
+        let (count, limit, omitted_count) = match class {
             LineClass::Routine => {
-                (&mut self.routine, self.limits.routine, &mut self.left_out.routine)
+                (&mut self.routine, self.limits.routine, &mut self.omitted.routine)
             }
             LineClass::Failure => {
-                (&mut self.failures, self.limits.failures, &mut self.left_out.failures)
+                (&mut self.failures, self.limits.failures, &mut self.omitted.failures)
             }
         };
-        let of_site = self.sites.entry(site).or_default();
+        let site_count = self.sites.entry(site).or_default();
         *count = count.saturating_add(1);
-        *of_site = of_site.saturating_add(1);
-        let is_written = *count <= limit || *of_site <= SITE_LINES;
+        *site_count = site_count.saturating_add(1);
+        let is_written = *count <= limit || *site_count <= RESERVED_SITE_LINES;
         if !is_written {
-            *left = left.saturating_add(1);
+            *omitted_count = omitted_count.saturating_add(1);
         }
-        LineVerdict { is_written, left_out }
+        LineVerdict { is_written, omitted }
     }
 
-    fn begin(&mut self, second: u64) -> Option<LeftOut> {
-        let left_out = std::mem::take(&mut self.left_out);
+    /// Resets the counts for a new second and returns the omitted lines, `None` where none were.
+    fn start_second(&mut self, second: u64) -> Option<OmittedLines> {
+        let omitted = std::mem::take(&mut self.omitted);
         self.second = second;
         (self.routine, self.failures) = (0, 0);
         self.sites.clear();
-        (left_out != LeftOut::default()).then_some(left_out)
+        (omitted != OmittedLines::default()).then_some(omitted)
     }
 }
--- a/components/logs/src/lib.rs
+++ b/components/logs/src/lib.rs
@@ -1,7 +1,7 @@
-//! Structured logs on standard output, bounded in volume, that block nobody.
+//! Structured logs on standard output, bounded in volume, that never block the caller.
 //!
-//! One JSON object a line: `ts`, `level`, `msg`, and the key-values that the line was written with.
-//! A message begins with the part that writes it.
+//! Each line is one JSON object with `ts` (milliseconds since the Unix epoch), `level`, `msg`, and
+//! the key-values of the log call. A message begins with the name of the part that writes it.
 
 mod budget;
 mod line;
--- a/components/logs/src/line.rs
+++ b/components/logs/src/line.rs
@@ -1,4 +1,4 @@
-//! One record as one line of JSON.
+//! Formats a log record as one line of JSON.
 
 use std::{
     io::{self, Write},
@@ -11,6 +11,7 @@
 };
 use serde_json::{Map, Value as JsonValue, json};
 
+/// Copies key-values into a JSON object; numbers and booleans keep their types.
 struct FieldVisitor<'a>(&'a mut Map<String, JsonValue>);
 
 impl<'kvs> VisitSource<'kvs> for FieldVisitor<'_> {
@@ -18,7 +19,7 @@
         let value = match (value.to_u64(), value.to_i64(), value.to_bool()) {
             (Some(number), ..) => json!(number),
             (_, Some(number), _) => json!(number),
-            (.., Some(truth)) => json!(truth),
+            (.., Some(boolean)) => json!(boolean),
             _ => json!(value.to_string()),
         };
         self.0.insert(key.to_string(), value);
@@ -26,18 +27,18 @@
     }
 }
 
-/// Writes a record as a JSON object and a line feed.
+/// Writes a record as a JSON object followed by a line feed.
 ///
 /// # Errors
 ///
-/// Returns what the writer does.
+/// Returns the error of the writer.
 pub fn write_line(out: &mut impl Write, record: &Record<'_>) -> io::Result<()> {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let mut fields = Map::new();
-    fields.insert("ts".to_owned(), json!(since.as_millis() as u64));
+    fields.insert("ts".to_owned(), json!(unix_time.as_millis() as u64));
     fields.insert("level".to_owned(), json!(record.level().as_str()));
     fields.insert("msg".to_owned(), json!(record.args().to_string()));
-    // Key-values in memory cannot fail to be visited.
+    // Visiting key-values that are in memory cannot fail.
     let _ = record.key_values().visit(&mut FieldVisitor(&mut fields));
     serde_json::to_writer(&mut *out, &fields)?;
     out.write_all(b"\n")
--- a/components/logs/src/outage.rs
+++ b/components/logs/src/outage.rs
@@ -1,4 +1,4 @@
-//! Losing and regaining something the daemon depends on, as two lines and not hundreds.
+//! Logs the loss and the return of a dependency as two lines rather than hundreds.
 
 use std::{
     fmt::Display,
@@ -6,51 +6,52 @@
     time::Instant,
 };
 
+/// An outage that has not ended.
 struct OpenOutage {
     since: Instant,
     failures: u64,
 }
 
-/// Tells once that a dependency is lost and once that it is back.
+/// Logs once that a dependency is lost and once that it is available again.
 ///
-/// A store that is away for minutes fails hundreds of calls. A line for each hides the two that an
-/// engineer looks for: since when, and for how long.
+/// A store that is unavailable for minutes fails hundreds of calls. A line for each would hide the
+/// two facts that an engineer needs: when the outage started and how long it lasted.
 pub struct OutageLog {
     part: &'static str,
-    what: &'static str,
-    open: Mutex<Option<OpenOutage>>,
+    dependency: &'static str,
+    outage: Mutex<Option<OpenOutage>>,
 }
 
 impl OutageLog {
-    /// Makes one for what a part depends on.
-    pub const fn new(part: &'static str, what: &'static str) -> Self {
-        Self { part, what, open: Mutex::new(None) }
+    /// Creates the log of one dependency; `part` is the prefix of the lines.
+    pub const fn new(part: &'static str, dependency: &'static str) -> Self {
+        Self { part, dependency, outage: Mutex::new(None) }
     }
 
-    /// Notes a failure with its reason.
+    /// Records a failed call; the first one of an outage is logged with its reason.
     pub fn lost(&self, reason: &dyn Display) {
-        let mut open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
-        match &mut *open {
-            Some(outage) => outage.failures += 1,
+        let mut outage = self.outage.lock().unwrap_or_else(PoisonError::into_inner);
+        match &mut *outage {
+            Some(current) => current.failures += 1,
             None => {
-                *open = Some(OpenOutage { since: Instant::now(), failures: 1 });
-                log::warn!("{}: {} is lost: {reason}.", self.part, self.what);
+                *outage = Some(OpenOutage { since: Instant::now(), failures: 1 });
+                log::warn!("{}: {} is unavailable: {reason}.", self.part, self.dependency);
             }
         }
     }
 
-    /// Forgets a loss without a line: whether the dependency is back is not known, as it is no longer
-    /// asked.
+    /// Ends the outage without a line. For a dependency that is no longer called, so that it is not
+    /// known whether it is available again.
     pub fn dismiss(&self) {
-        self.open.lock().unwrap_or_else(PoisonError::into_inner).take();
+        self.outage.lock().unwrap_or_else(PoisonError::into_inner).take();
     }
 
-    /// Notes a success.
+    /// Records a successful call; the first one after an outage is logged with its duration.
     pub fn back(&self) {
-        let open = self.open.lock().unwrap_or_else(PoisonError::into_inner).take();
-        if let Some(OpenOutage { since, failures }) = open {
+        let outage = self.outage.lock().unwrap_or_else(PoisonError::into_inner).take();
+        if let Some(OpenOutage { since, failures }) = outage {
             let away_ms = u64::try_from(since.elapsed().as_millis()).unwrap_or(u64::MAX);
-            log::warn!(away_ms, failures; "{}: {} is back.", self.part, self.what);
+            log::warn!(away_ms, failures; "{}: {} is available again.", self.part, self.dependency);
         }
     }
 }
--- a/components/logs/src/output.rs
+++ b/components/logs/src/output.rs
@@ -1,4 +1,6 @@
-//! The way of lines from the parts to standard output.
+//! Passes log lines to standard output through a writer thread and a bounded buffer.
+//!
+//! A reader that stops reading costs log lines, never requests.
 
 use std::{
     io::{self, Write},
@@ -19,45 +21,46 @@
     paced::PacedWriter,
 };
 
-/// Lines that wait for a reader. Some seconds of a busy daemon, and less than a megabyte; further
-/// ones are dropped and counted, since a reader that stops must not stop requests.
-const WAITING_LINES: usize = 2_048;
-/// Levels that are written where the environment names none.
+/// Largest number of lines that wait to be written: some seconds of a busy daemon, and less than a
+/// megabyte. Further lines are dropped and counted, because a reader that stops must not stop
+/// requests.
+const MAX_WAITING_LINES: usize = 2_048;
+/// Log levels where the environment variable `RUST_LOG` is not set.
 const DEFAULT_LEVELS: &str = "info";
 
-/// Keeps the writer of the lines; what waits is written when this is dropped.
+/// Keeps the writer thread running; waiting lines are written when this is dropped.
 pub struct LogGuard {
     _worker: WorkerGuard,
 }
 
-/// Writes within the limits and counts what it leaves out.
+/// Writes lines within the limits and counts those that it omits.
 struct BoundedLogger {
     inner: Logger,
     budget: Mutex<LineBudget>,
     start: Instant,
     dropped: ErrorCounter,
-    told: AtomicUsize,
+    reported_drops: AtomicUsize,
 }
 
 /// Starts logging to standard output.
 ///
 /// # Errors
 ///
-/// Returns an error where the process logs already.
+/// Returns an error where the process already has a logger.
 pub fn start_logs(limits: LineLimits) -> Result<LogGuard, SetLoggerError> {
     start_logs_to(io::stdout(), limits)
 }
 
-/// Starts logging to a writer, which a thread of its own writes to.
+/// Starts logging to a writer, which is used by a separate thread.
 ///
 /// # Errors
 ///
-/// Returns an error where the process logs already.
+/// Returns an error where the process already has a logger.
 pub fn start_logs_to(
     writer: impl Write + Send + 'static,
     limits: LineLimits,
 ) -> Result<LogGuard, SetLoggerError> {
-    let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(WAITING_LINES);
+    let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_WAITING_LINES);
     let (writer, worker) = builder.finish(PacedWriter::new(writer));
     let dropped = writer.error_counter();
     let inner = env_logger::Builder::from_env(Env::default().default_filter_or(DEFAULT_LEVELS))
@@ -66,23 +69,33 @@
         .build();
     let level = inner.filter();
     let budget = Mutex::new(LineBudget::new(limits));
-    let (start, told) = (Instant::now(), AtomicUsize::new(0));
-    log::set_boxed_logger(Box::new(BoundedLogger { inner, budget, start, dropped, told }))?;
+    let (start, reported_drops) = (Instant::now(), AtomicUsize::new(0));
+    log::set_boxed_logger(Box::new(BoundedLogger {
+        inner,
+        budget,
+        start,
+        dropped,
+        reported_drops,
+    }))?;
     log::set_max_level(level);
     Ok(LogGuard { _worker: worker })
 }
 
 impl BoundedLogger {
-    /// Tells how many lines were dropped because nobody read them.
-    fn tell_dropped(&self) {
+    /// Writes how many lines were dropped because the reader was too slow.
+    fn report_dropped(&self) {
         let dropped = self.dropped.dropped_lines();
-        let told = self.told.swap(dropped, Ordering::Relaxed);
-        if dropped > told {
-            self.tell(format_args!("logs: {} lines were not read in time.", dropped - told));
+        let reported_drops = self.reported_drops.swap(dropped, Ordering::Relaxed);
+        if dropped > reported_drops {
+            self.write_warning(format_args!(
+                "logs: dropped {} lines because the output was not read in time.",
+                dropped - reported_drops
+            ));
         }
     }
 
-    fn tell(&self, text: std::fmt::Arguments<'_>) {
+    /// Writes a warning of this crate's own, outside the limits.
+    fn write_warning(&self, text: std::fmt::Arguments<'_>) {
         let record = Record::builder().level(Level::Warn).target("sk_logs").args(text).build();
         self.inner.log(&record);
     }
@@ -100,19 +113,19 @@
         let class = match record.level() {
             Level::Error | Level::Warn => LineClass::Failure,
             Level::Info => LineClass::Routine,
-            // Asked for by name while something is looked into: all of it.
+            // These levels are enabled for an investigation, so they are written without limits.
             Level::Debug | Level::Trace => return self.inner.log(record),
         };
         let verdict = {
             let mut budget = self.budget.lock().unwrap_or_else(PoisonError::into_inner);
-            budget.take(class, CallSite::of(record), self.start.elapsed())
+            budget.admit(class, CallSite::of_record(record), self.start.elapsed())
         };
-        if let Some(left) = verdict.left_out {
-            let (routine, failures) = (left.routine, left.failures);
-            self.tell(format_args!(
-                "logs: {routine} routine lines and {failures} failures were left out of a second."
+        if let Some(omitted) = verdict.omitted {
+            let (routine, failures) = (omitted.routine, omitted.failures);
+            self.write_warning(format_args!(
+                "logs: omitted {routine} routine lines and {failures} failures within one second."
             ));
-            self.tell_dropped();
+            self.report_dropped();
         }
         if verdict.is_written {
             self.inner.log(record);
--- a/components/logs/tests/blocked_output.rs
+++ b/components/logs/tests/blocked_output.rs
@@ -1,4 +1,4 @@
-//! A standard output that nobody reads.
+//! Logging to an output that nobody reads.
 
 use std::{
     io::{self, Write},
@@ -7,7 +7,7 @@
 
 use sk_logs::{LineLimits, start_logs_to};
 
-/// A pipe that is full and stays so.
+/// A pipe that stays full.
 struct BlockedPipe;
 
 impl Write for BlockedPipe {
@@ -21,17 +21,17 @@
     }
 }
 
-/// Whoever reads the daemon's output stops reading. If a line then waited for the pipe, so would
-/// the request that wrote it, and callers would see the daemon hang.
+/// Guards against requests that hang because the reader of the daemon's output stops: if a line
+/// waited for the full pipe, the request that logs it would wait too.
 #[test]
-fn never_waits() {
+fn logging_never_blocks() {
     let limits = LineLimits { routine: u32::MAX, failures: u32::MAX };
     let guard = start_logs_to(BlockedPipe, limits).expect("the first logger of the process");
-    let begin = Instant::now();
+    let start = Instant::now();
     for index in 0..20_000 {
         log::warn!(index; "test: a line for a pipe that is full.");
     }
-    assert!(begin.elapsed() < Duration::from_secs(10), "{:?}", begin.elapsed());
-    // Dropping the guard waits for the writer, which is stuck for good.
+    assert!(start.elapsed() < Duration::from_secs(10), "{:?}", start.elapsed());
+    // Dropping the guard would wait for the writer, which never returns.
     std::mem::forget(guard);
 }
--- a/components/logs/tests/line_form.rs
+++ b/components/logs/tests/line_format.rs
@@ -1,12 +1,12 @@
-//! What a line looks like.
+//! The format of a log line.
 
 use log::{Level, Record};
 use sk_logs::write_line;
 
-/// A line that is not one JSON object cannot be searched by key, and a caller's id with a quote in
-/// it must not make it so.
+/// Guards against lines that are not one JSON object, which cannot be searched by key. A caller's
+/// identifier may hold quotes and line feeds.
 #[test]
-fn one_object() {
+fn line_is_one_json_object() {
     let pairs = [("attempt", "a\"b\n"), ("status", "503")];
     let mut out = Vec::new();
     let record = Record::builder()
@@ -14,7 +14,7 @@
         .args(format_args!("proxy: answered."))
         .key_values(&pairs)
         .build();
-    write_line(&mut out, &record).expect("a vector takes all");
+    write_line(&mut out, &record).expect("a vector accepts all bytes");
     let text = String::from_utf8(out).expect("text");
     assert_eq!(text.matches('\n').count(), 1);
     let line: serde_json::Value = serde_json::from_str(&text).expect("one object");
