--- a/components/settings/src/daemon_settings.rs
+++ b/components/settings/src/daemon_settings.rs
@@ -1,4 +1,6 @@
-//! The settings struct with its defaults.
+//! The settings of a daemon with their defaults.
+//!
+//! The doc comments give units, bounds and defaults; the bounds are enforced in `check`.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -11,86 +13,88 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DaemonSettings {
-    /// Which instance this is and where it stands.
+    /// The instance that the daemon runs on and its location.
     pub instance: InstanceSettings,
-    /// Addresses the daemon listens at.
+    /// Addresses that the daemon listens on.
     #[serde(default)]
     pub listen: ListenSettings,
     /// The platform's object API.
     pub platform: PlatformSettings,
     /// Other daemons.
     pub peers: PeerSettings,
-    /// How configuration spreads.
+    /// How configuration spreads between daemons.
     #[serde(default)]
     pub spread: SpreadSettings,
-    /// How daemons watch each other.
+    /// How daemons detect failures of each other.
     #[serde(default)]
     pub member: MemberSettings,
     /// How the guard admits work to the local backend server.
     #[serde(default)]
     pub guard: GuardSettings,
-    /// Who may change what.
+    /// Who may change the configuration.
     #[serde(default)]
     pub operators: OperatorSettings,
-    /// Where requests are placed and when they are tried again.
+    /// How requests are placed and retried.
     #[serde(default)]
     pub placing: PlacingSettings,
-    /// Where reports are kept.
+    /// How reports are stored.
     #[serde(default)]
     pub report: ReportSettings,
-    /// Where metrics go.
+    /// Where metrics are sent and served.
     #[serde(default)]
     pub metrics: MetricSettings,
     /// How much is logged.
     #[serde(default)]
     pub logs: LogSettings,
-    /// What is left out to find what it is worth.
+    /// Mechanisms that are disabled to measure their effect.
     #[serde(default)]
     pub experiment: ExperimentSettings,
 }
 
-/// Which instance this is and where it stands.
+/// The instance that a daemon runs on and its location.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct InstanceSettings {
     /// Name of the daemon, unique in the fleet; 1 to 64 characters of a-z 0-9 - _ .
     pub name: ProxyId,
-    /// Data centre; the same rule as for the name.
+    /// Name of the data centre; the same rule as for `name`.
     pub data_centre: DataCentre,
-    /// Region of the data centre; the same rule as for the name.
+    /// Name of the data centre's region; the same rule as for `name`.
     pub region: String,
-    /// Service of the backend server beside the daemon, as the platform names it: backend servers
-    /// are told where a call began. Absent tells them nothing.
+    /// Service of the local backend server, as the platform names it. It is sent to other backend
+    /// servers as the origin of a call. Absent sends no origin.
     #[serde(default)]
     pub service: Option<String>,
-    /// Address of that backend server. A daemon that has just started asks it there who it is, where its
-    /// service has a path for that, and need not wait for its next heartbeat. Absent asks nobody.
+    /// Address of the local backend server. A daemon that has just started asks it for its
+    /// identity, if its service has a `health_path`, rather than wait for the next heartbeat.
+    /// Absent asks no server.
     #[serde(default)]
     pub server: Option<SocketAddr>,
-    /// Threads that carry requests, 1 to 64. Default 0, one for each core that the system shows.
+    /// Threads that forward requests, 1 to 64. Default 0: one for each core of the system.
     #[serde(default)]
     pub threads: usize,
 }
 
-/// Addresses the daemon listens at. Port 0 takes a free port, which the daemon prints.
+/// Addresses that the daemon listens on. Port 0 selects a free port, which the daemon prints at
+/// its start.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ListenSettings {
-    /// Callers' HTTP requests.
+    /// Listener for callers' HTTP requests.
     pub proxy: SocketAddr,
-    /// Requests from other daemons for the local backend server.
+    /// Listener for requests from other daemons to the local backend server.
     pub guard: SocketAddr,
-    /// Control traffic between daemons.
+    /// Listener for control traffic between daemons.
     pub control: SocketAddr,
-    /// Operators and announcements of the local backend server.
+    /// Listener for operators and for announcements of the local backend server.
     pub ops: SocketAddr,
-    /// A second address for the same calls, for a platform that asks there whether the daemon is
-    /// ready. Absent for none.
+    /// Second listener for the same calls as `ops`, for a platform that checks there whether the
+    /// daemon is ready. Absent for none.
     pub ready: Option<SocketAddr>,
-    /// Address that other daemons are told for requests to the local backend server, where they
-    /// reach this instance by another one than it listens at. Absent for `guard`.
+    /// Address under which other daemons send requests to the local backend server, if it differs
+    /// from the one that the daemon listens on. Absent for `guard`.
     pub advertised_guard: Option<SocketAddr>,
-    /// The same for control traffic. Absent for `control`.
+    /// Address under which other daemons send control traffic. Absent for `control`.
     pub advertised_control: Option<SocketAddr>,
 }
 
@@ -119,19 +123,19 @@
     /// Milliseconds until an answer counts as lost, 50 to 30000. Default 2000.
     #[serde(default = "default_platform_timeout_ms")]
     pub timeout_ms: u64,
-    /// Prefix of every key of this fleet, so that fleets can share a platform.
+    /// Prefix of every key of this fleet, so that several fleets can share a platform.
     #[serde(default = "default_key_prefix")]
     pub key_prefix: String,
-    /// Whose calls, configuration and headers are spoken. Default own.
+    /// Which platform's calls, configuration and headers are used. Default own.
     #[serde(default)]
     pub form: PlatformForm,
 }
 
-/// Whose calls, configuration and headers a daemon speaks.
+/// Which platform's calls, configuration and headers a daemon uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PlatformForm {
-    /// Sapphirekeel's own: teams change the configuration by way of the daemons.
+    /// Sapphirekeel's own: teams change the configuration through the daemons.
     #[default]
     Own,
     /// The users' platform: its operator writes the whole configuration into its store.
@@ -150,7 +154,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerSettings {
-    /// Control addresses tried for joining, in addition to contacts kept in the platform.
+    /// Control addresses to try when joining, in addition to the contacts stored in the platform.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
     /// Secret shared by the fleet's daemons, at least 16 characters; shorter ones can be guessed.
@@ -161,31 +165,33 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SpreadMode {
-    /// Sends the change at once: least convergence time, and fewest bytes for a change on its own.
+    /// Sends a change at once: shortest convergence time, and fewest bytes for a single change.
     #[default]
     Push,
-    /// Gathers changes for a second, then announces the version and lets peers fetch what they
-    /// lack: fewest control bytes where many changes come within a second.
+    /// Collects changes for a second, then announces the version and lets peers fetch what they
+    /// lack: fewest control bytes where many changes are made within a second.
     Announce,
 }
 
-/// How configuration spreads.
+/// How configuration spreads between daemons.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SpreadSettings {
     /// Whether changes are pushed or announced. Default push.
     pub mode: SpreadMode,
-    /// Peers each daemon passes a version to, 1 to 64. Default 6.
+    /// Peers that each daemon passes a version to, 1 to 64. Default 6.
     pub fan_out: usize,
-    /// Mean milliseconds between comparisons with a random peer, 100 to 60000. Default 2000.
+    /// Mean milliseconds between comparisons of the version with a random peer, 100 to 60000.
+    /// Default 2000.
     pub repair_interval_ms: u64,
     /// Daemons per data centre that watch the platform, 1 to 8. Default 2.
     pub relays: usize,
-    /// Snapshots a daemon serves to peers at once, 1 to 64; more are told to come back. Default 4.
+    /// Snapshots that a daemon serves to peers concurrently, 1 to 64; further requests are told to
+    /// retry later. Default 4.
     pub max_fetches: usize,
-    /// Milliseconds over which the daemons of a fleet that starts at once spread their own reads of
-    /// the platform, 20 to 60000. Default 2000: most then get the configuration from a relay. A
-    /// small fleet is ready sooner with less, for one read a daemon.
+    /// Milliseconds over which daemons that start together spread their own reads of the platform,
+    /// 20 to 60000. Default 2000: most daemons then get the configuration from a relay. A small
+    /// fleet is ready sooner with less, at the cost of one read per daemon.
     pub start_window_ms: u64,
 }
 
@@ -202,14 +208,14 @@
     }
 }
 
-/// How daemons watch each other.
+/// How daemons detect failures of each other.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct MemberSettings {
     /// Milliseconds between heartbeats to a neighbour, 50 to 10000. Default 500.
     pub heartbeat_ms: u64,
-    /// Milliseconds without a heartbeat until a neighbour is suspected; at least three heartbeats,
-    /// so that one lost packet or a short pause suspects nobody. Default 1500.
+    /// Milliseconds without a heartbeat after which a neighbour is suspected; at least three
+    /// heartbeats, so that one lost packet or a short pause suspects nobody. Default 1500.
     pub suspect_ms: u64,
 }
 
@@ -223,29 +229,30 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct GuardSettings {
-    /// Short requests that may wait for a slot, 0 to 1024; long ones get half as many places.
-    /// Longer queues only add waiting. Default 24.
+    /// Short requests that may wait for a slot, 0 to 1024; half as many long ones may wait. Longer
+    /// queues only add waiting time. Default 24.
     pub queue: usize,
-    /// Connections to the backend server at once, 1 to 10000; more are reset by it. Default 100.
+    /// Concurrent connections to the backend server, 1 to 10000; the server resets further ones.
+    /// Default 100.
     pub connections: u32,
-    /// Largest body of a request in bytes, 1024 to 1073741824; larger ones get status 413.
+    /// Largest request body in bytes, 1024 to 1073741824; larger ones get status 413.
     /// Default 16777216.
     pub max_body_bytes: u64,
-    /// Milliseconds a graceful shutdown waits for requests in flight, 0 to 600000. Default 30000.
+    /// Milliseconds that a graceful stop waits for requests in flight, 0 to 600000. Default 30000.
     pub drain_ms: u64,
-    /// Milliseconds without an announcement until the server counts as gone, 200 to 60000.
+    /// Milliseconds without an announcement after which the server counts as gone, 200 to 60000.
     /// Default 3000.
     pub announce_ttl_ms: u64,
-    /// Milliseconds for which a daemon that was told to stop goes on taking requests, so that
-    /// callers notice before they are refused, 0 to 60000. Default 300.
+    /// Milliseconds for which a stopping daemon still accepts requests, so that callers learn of
+    /// the stop before they are refused, 0 to 60000. Default 300.
     pub leave_ms: u64,
-    /// Shortest milliseconds after which a refused caller may return, 0 to 60000. Default 1000.
+    /// Shortest delay in milliseconds before a refused caller may retry, 0 to 60000. Default 1000.
     pub retry_least_ms: u64,
-    /// Milliseconds over which returns are spread, 1 to 60000. Default 2000.
+    /// Milliseconds over which the retries of refused callers are spread, 1 to 60000. Default 2000.
     pub retry_spread_ms: u64,
-    /// Crashes with the same request in flight after which it is held back, 2 to 4. Default 0: it
-    /// runs alone after its first crash, which tells it from the others most surely but costs
-    /// them the server while it runs.
+    /// Server crashes with the same request in flight after which the request is refused, 2 to 4.
+    /// Default 0: after its first crash the request runs alone, which identifies the cause most
+    /// reliably but makes the server unavailable to other requests meanwhile.
     pub crash_limit: u32,
 }
 
@@ -269,40 +276,41 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PlacingOrder {
-    /// The better of two drawn by share: for work of a few milliseconds.
+    /// The better of two that are drawn at random by share: for work of a few milliseconds.
     #[default]
     Draw,
-    /// Where the answer is expected first, and only where a slot is free while there is one; those
-    /// that wait start by rank and response-time goal. For work that is long beside a round trip
-    /// between daemons.
+    /// The one whose answer is expected first, and only one with a free slot while there is any;
+    /// waiting requests start in order of rank and response-time goal. For work that takes long
+    /// compared with a round trip between daemons.
     Soonest,
 }
 
-/// Where requests are placed and when they are tried again.
+/// How requests are placed and retried.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PlacingSettings {
     /// How an endpoint is chosen. Default draw.
     pub order: PlacingOrder,
-    /// Milliseconds in which a new backend server is given its whole share, 0 to 600000. Default
+    /// Milliseconds after which a new backend server receives its full share, 0 to 600000. Default
     /// 30000.
     pub warm_up_ms: u64,
-    /// Retries that each request pays in for its service, in thousandths, 0 to 1000. Default 100.
+    /// Thousandths of a retry that each request adds to the retry budget of its service, 0 to 1000.
+    /// Default 100.
     pub retry_deposit: u64,
-    /// Retries that a service may be sent at once, 0 to 10000. Default 20.
+    /// Largest retry budget of a service, in retries, 0 to 10000. Default 20.
     pub retry_burst: u64,
-    /// Thousandths of the burst that are kept back, 0 to 900. Default 0. For a burst that is
-    /// somebody else's bound: daemons learn of each other, and count what a call repeats, a moment
-    /// late.
+    /// Thousandths of the burst that are kept in reserve, 0 to 900. Default 0. For a burst that
+    /// another party limits: daemons learn of each other, and count the repeats of a call, with a
+    /// short delay.
     pub retry_margin: u64,
-    /// Thousandths of a retry that a service without traffic gains a second, 0 to 100000. Default
-    /// 1000.
+    /// Thousandths of a retry that the retry budget of a service gains per second even without
+    /// traffic, 0 to 100000. Default 1000.
     pub retry_floor: u64,
-    /// Whether burst and floor are those of the whole fleet, of which each daemon holds its part.
-    /// Default false.
+    /// Whether `retry_burst` and `retry_floor` apply to the whole fleet, of which each daemon has
+    /// its part. Default false.
     pub retry_shared: bool,
-    /// Attempts that no backend server took in and that are made again elsewhere without drawing
-    /// on the retries, 0 to 16. Default 0.
+    /// Attempts that no backend server accepted and that are repeated on another one without
+    /// drawing on the retry budget, 0 to 16. Default 0.
     pub free_moves: u8,
 }
 
@@ -321,7 +329,7 @@
     }
 }
 
-/// Where reports are kept.
+/// How reports are stored.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ReportSettings {
@@ -335,32 +343,32 @@
     }
 }
 
-/// Who may change what.
+/// Who may change the configuration.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OperatorSettings {
-    /// SHA-256 of the managers' token in hexadecimal; empty refuses every manager's call.
+    /// SHA-256 of the managers' token in lower-case hexadecimal; empty refuses all managers' calls.
     pub manager_sha256: String,
 }
 
-/// Where metrics go.
+/// Where metrics are sent and served.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct MetricSettings {
-    /// Address that takes statsd datagrams; absent sends none.
+    /// Address that receives statsd datagrams. Absent sends none.
     pub address: Option<SocketAddr>,
-    /// Address at which metrics are served as text in the Prometheus format, at `/metrics`; absent
-    /// for none.
+    /// Address at which metrics are served in the Prometheus text format, at `/metrics`. Absent for
+    /// none.
     pub listen: Option<SocketAddr>,
 }
 
-/// How much is logged. The levels are those of the variable `RUST_LOG`.
+/// How much is logged. Levels are set by the environment variable `RUST_LOG`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// Routine lines written in a second, 1 to 100000; the others are counted. Default 50.
+    /// Routine lines written per second, 1 to 100000; further ones are only counted. Default 50.
     pub routine_lines: u32,
-    /// Lines about failures written in a second, 1 to 100000. Default 200.
+    /// Lines about failures written per second, 1 to 100000. Default 200.
     pub failure_lines: u32,
 }
 
--- a/components/settings/src/error.rs
+++ b/components/settings/src/error.rs
@@ -1,4 +1,6 @@
-//! Failures of reading settings.
+//! Errors of reading settings.
+//!
+//! Each one names the file and, where possible, the line, the key and the allowed values.
 
 use std::path::PathBuf;
 
@@ -15,10 +17,10 @@
     Read {
         /// The file.
         file: PathBuf,
-        /// What the system said.
+        /// The system's error.
         source: std::io::Error,
     },
-    /// The file is larger than settings may be.
+    /// The file is larger than [`MAX_SETTINGS_BYTES`].
     #[error("{}: larger than {MAX_SETTINGS_BYTES} bytes", file.display())]
     TooLarge {
         /// The file.
@@ -29,7 +31,7 @@
     Syntax {
         /// The file.
         file: PathBuf,
-        /// Line and column.
+        /// Line and column of the error.
         place: TextPlace,
         /// The key and what is expected there.
         reason: String,
@@ -39,16 +41,16 @@
     Bound {
         /// The file.
         file: PathBuf,
-        /// Line and column of the key; the start of the file where a default is at fault.
+        /// Line and column of the key; the start of the file where a default is out of bounds.
         place: TextPlace,
         /// Dotted key.
         key: &'static str,
-        /// What was found.
+        /// The value found.
         found: String,
-        /// What is allowed.
+        /// The allowed values.
         allowed: &'static str,
     },
-    /// Two keys name the same address.
+    /// Two listeners have the same address.
     #[error(
         "{}:{place}: `{first}` and `{second}` are both {address}; allowed: distinct addresses",
         file.display()
@@ -62,7 +64,7 @@
         first: &'static str,
         /// The second dotted key.
         second: &'static str,
-        /// The address.
+        /// The address of both.
         address: String,
     },
 }
--- a/components/settings/src/experiment.rs
+++ b/components/settings/src/experiment.rs
@@ -1,39 +1,40 @@
-//! Leaving mechanisms out to find what they are worth.
+//! Switches that disable single mechanisms of the request path, to measure their effect.
 
 use serde::{Deserialize, Serialize};
 
-/// Mechanisms that are left out to find what they are worth. Not for service: callers fare worse.
+/// Mechanisms that are disabled to measure their effect. Not for production: requests are served
+/// worse without them.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ExperimentSettings {
-    /// Mechanisms left out. Default none.
+    /// Disabled mechanisms. Default none.
     pub off: Vec<Mechanism>,
-    /// Thousandths of the slots of a server that has just started which are held back, 0 to 1000. Absent
-    /// for what the order of requests has.
+    /// Thousandths of its slots that a server which has just started does not use yet, 0 to 1000.
+    /// Absent for the default of `placing.order`.
     pub cold_hold: Option<u64>,
-    /// Microseconds of waiting near by that a kilobyte is worth which would cross, 0 to 1000000. Absent
-    /// for the default.
+    /// Microseconds of extra waiting in the own data centre that are accepted to save one kilobyte
+    /// of traffic to another, 0 to 1000000. Absent for the default.
     pub near_wait_us: Option<u64>,
 }
 
-/// A mechanism of the request path that can be left out.
+/// A mechanism of the request path that can be disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mechanism {
-    /// Placing by the times of each kind of work.
+    /// Placing by the measured times of each kind of work.
     WorkKinds,
-    /// Placing by an endpoint's failures.
+    /// Placing by the failures of an endpoint.
     Failures,
-    /// Placing by the time on the way.
+    /// Placing by the transit time to an endpoint.
     Transit,
-    /// Placing by the guards' word on the wait.
+    /// Placing by the waiting times that the guards report.
     WaitHints,
-    /// Setting endpoints aside that fail or are slow.
+    /// Excluding endpoints that fail or are slow.
     Outliers,
-    /// Sending again after a server's failure.
+    /// Retrying a request after a server's failure.
     FailedAgain,
-    /// Bounding long work by what the link carries.
+    /// Limiting long work by the capacity of the link.
     LinkRoom,
-    /// Handing back the least urgent of a full queue.
+    /// Replacing the least urgent request of a full queue, which goes back to its sender.
     MadeRoom,
 }
--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -1,7 +1,7 @@
 //! Checked settings of the daemon, read from TOML.
 //!
-//! Settings are read and checked whole before the daemon binds or connects anything, so that a
-//! mistake stops it with the file, the key and what is allowed.
+//! The whole file is read and checked before the daemon binds or connects anything, so that a
+//! mistake stops it with an error that names the file, the key and the allowed values.
 
 mod check;
 mod daemon_settings;
@@ -22,15 +22,15 @@
 
 use sk_model::TextPlace;
 
-/// Largest settings file, in bytes. A fleet's thousand seeds fit; a wrong file named by mistake
-/// does not fill the memory.
+/// Largest settings file, in bytes. The thousand seeds of a large fleet fit, and a wrong file that
+/// is named by mistake does not fill the memory.
 pub const MAX_SETTINGS_BYTES: u64 = 64 * 1024;
 
 /// Reads and checks the settings in a file.
 ///
 /// # Errors
 ///
-/// Returns a [`SettingsError`] that names the file, the key and what is allowed.
+/// Returns a [`SettingsError`] that names the file, the key and the allowed values.
 pub fn read_settings(file: &Path) -> Result<DaemonSettings, SettingsError> {
     let mut text = String::new();
     let opened = File::open(file);
@@ -45,24 +45,24 @@
     }
 }
 
-/// Parses and checks settings; `file` is named in errors only.
+/// Parses and checks settings; `file` is used in errors only.
 ///
 /// # Errors
 ///
-/// Returns a [`SettingsError`] that names the file, the key and what is allowed.
+/// Returns a [`SettingsError`] that names the file, the key and the allowed values.
 pub fn parse_settings(file: &Path, text: &str) -> Result<DaemonSettings, SettingsError> {
     let settings: DaemonSettings = toml::from_str(text).map_err(|err| SettingsError::Syntax {
         file: file.to_owned(),
         place: TextPlace::of_error(text, &err),
-        reason: hide_secret(TextPlace::describe_error(text, &err)),
+        reason: redact_secret(TextPlace::describe_error(text, &err)),
     })?;
     check::check_settings(file, text, &settings)?;
     Ok(settings)
 }
 
-/// Drops the value that the TOML reader quotes where the secret is of the wrong type: the error ends
-/// in logs, which more people read than the settings.
-fn hide_secret(reason: String) -> String {
+/// Removes the value that the TOML parser quotes where the secret has the wrong type: the error is
+/// logged, and more people read logs than settings.
+fn redact_secret(reason: String) -> String {
     match reason.starts_with("`secret`") {
         true => "`secret`: invalid type, expected a string".to_owned(),
         false => reason,
--- a/components/settings/src/loopback.rs
+++ b/components/settings/src/loopback.rs
@@ -1,6 +1,6 @@
-//! Settings of daemons that share this machine, for the demo, measurements and tests.
+//! Settings of daemons that share one machine, for the demo, measurements and tests.
 
-/// One daemon on loopback, with free ports.
+/// Settings of one daemon on loopback addresses with free ports.
 #[derive(Clone, Debug)]
 pub struct LoopbackPlan<'a> {
     /// Name of the daemon.
@@ -13,16 +13,16 @@
     pub platform: &'a str,
     /// Control addresses of other daemons.
     pub seeds: &'a [String],
-    /// Secret of the fleet. Fleets that run at once need different ones: a daemon that took over
-    /// the port of another fleet's dead one would else be let into that fleet.
+    /// Secret of the fleet. Fleets that run at the same time need different ones; otherwise a
+    /// daemon that gets the port of another fleet's dead daemon would be admitted to that fleet.
     pub secret: &'a str,
     /// SHA-256 of the managers' token in hexadecimal.
     pub manager_sha256: &'a str,
-    /// Further sections in TOML.
+    /// Additional sections in TOML.
     pub extra: &'a str,
 }
 
-/// Renders the settings as the TOML text that a daemon reads.
+/// Returns the settings as the TOML text that a daemon reads.
 pub fn loopback_text(plan: &LoopbackPlan<'_>) -> String {
     let seeds: Vec<String> = plan.seeds.iter().map(|seed| format!("\"{seed}\"")).collect();
     format!(
--- a/components/settings/tests/bad_settings.rs
+++ b/components/settings/tests/bad_settings.rs
@@ -5,7 +5,7 @@
 use expect_test::{Expect, expect};
 use sk_settings::parse_settings;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 [instance]
 name = "lj1-board-1"
 data_centre = "lj1"
@@ -18,21 +18,21 @@
 secret = "sixteen characters"
 "#;
 
-fn refusal(text: &str, expected: Expect) {
-    let err = parse_settings(Path::new("daemon.toml"), text).expect_err("bad settings");
+fn assert_refusal(text: &str, expected: Expect) {
+    let err = parse_settings(Path::new("daemon.toml"), text).expect_err("invalid settings");
     expected.assert_eq(&err.to_string());
 }
 
 #[test]
-fn good_settings() {
-    let settings = parse_settings(Path::new("daemon.toml"), GOOD).expect("good settings");
+fn valid_settings() {
+    let settings = parse_settings(Path::new("daemon.toml"), VALID).expect("valid settings");
     assert_eq!(settings.spread.fan_out, 6);
 }
 
 #[test]
 fn unknown_key() {
-    refusal(
-        &format!("{GOOD}\n[spread]\nfanout = 3\n"),
+    assert_refusal(
+        &format!("{VALID}\n[spread]\nfanout = 3\n"),
         expect![
             "daemon.toml:14:1: unknown field `fanout`, expected one of `mode`, `fan_out`, `repair_interval_ms`, `relays`, `max_fetches`, `start_window_ms`"
         ],
@@ -41,16 +41,16 @@
 
 #[test]
 fn wrong_unit() {
-    refusal(
-        &format!("{GOOD}\n[member]\nheartbeat_ms = \"1s\"\n"),
+    assert_refusal(
+        &format!("{VALID}\n[member]\nheartbeat_ms = \"1s\"\n"),
         expect![[r#"daemon.toml:14:16: `heartbeat_ms`: invalid type: string "1s", expected u64"#]],
     );
 }
 
 #[test]
 fn out_of_bounds() {
-    refusal(
-        &format!("{GOOD}\n[member]\nheartbeat_ms = 1\n"),
+    assert_refusal(
+        &format!("{VALID}\n[member]\nheartbeat_ms = 1\n"),
         expect!["daemon.toml:14:1: `member.heartbeat_ms` is 1; allowed: 50 to 10000"],
     );
 }
@@ -58,8 +58,8 @@
 #[test]
 fn clashing_addresses() {
     let listen = "[listen]\nproxy = \"0.0.0.0:80\"\nguard = \"127.0.0.1:80\"\n";
-    refusal(
-        &format!("{GOOD}\n{listen}"),
+    assert_refusal(
+        &format!("{VALID}\n{listen}"),
         expect![
             "daemon.toml:14:1: `listen.proxy` and `listen.guard` are both 0.0.0.0:80; allowed: distinct addresses"
         ],
@@ -67,10 +67,10 @@
 }
 
 #[test]
-fn digits_in_upper_case() {
+fn upper_case_hash() {
     let hash = "AB".repeat(32);
-    refusal(
-        &format!("{GOOD}\n[operators]\nmanager_sha256 = \"{hash}\"\n"),
+    assert_refusal(
+        &format!("{VALID}\n[operators]\nmanager_sha256 = \"{hash}\"\n"),
         expect![
             "daemon.toml:14:1: `operators.manager_sha256` is malformed; allowed: 64 hexadecimal digits in lower case, or empty"
         ],
@@ -80,15 +80,19 @@
 #[test]
 fn secret_not_shown() {
     for secret in ["[\"sixteen characters\"]", "1234567890123456"] {
-        let text = GOOD.replace("\"sixteen characters\"", secret);
-        refusal(&text, expect!["daemon.toml:11:10: `secret`: invalid type, expected a string"]);
+        let text = VALID.replace("\"sixteen characters\"", secret);
+        assert_refusal(
+            &text,
+            expect!["daemon.toml:11:10: `secret`: invalid type, expected a string"],
+        );
     }
 }
 
-/// Each new bound is told with its key, so that a mistake is mended without a look at the code.
+/// Errors name the key and the allowed values, so that a mistake is corrected without reading the
+/// code.
 #[test]
-fn named_bounds() {
-    let mut told = String::new();
+fn errors_name_key_and_bounds() {
+    let mut messages = String::new();
     for (section, line) in [
         ("logs", "routine_lines = 0"),
         ("logs", "failure_lines = 100001"),
@@ -101,9 +105,9 @@
         ("spread", "start_window_ms = 1"),
         ("metrics", "listen = \"nowhere\""),
     ] {
-        let text = format!("{GOOD}\n[{section}]\n{line}\n");
-        let err = parse_settings(Path::new("daemon.toml"), &text).expect_err("bad settings");
-        told.push_str(&format!("{err}\n"));
+        let text = format!("{VALID}\n[{section}]\n{line}\n");
+        let err = parse_settings(Path::new("daemon.toml"), &text).expect_err("invalid settings");
+        messages.push_str(&format!("{err}\n"));
     }
     expect![[r#"
         daemon.toml:14:1: `logs.routine_lines` is 0; allowed: 1 to 100000
@@ -117,36 +121,36 @@
         daemon.toml:14:1: `spread.start_window_ms` is 1; allowed: 20 to 60000
         daemon.toml:14:10: `listen`: invalid socket address syntax
     "#]]
-    .assert_eq(&told);
+    .assert_eq(&messages);
 }
 
-/// Metrics at an address that callers use would stop one of the two listeners.
+/// Guards against metrics at an address that callers use: one of the two listeners would not start.
 #[test]
 fn metrics_clash() {
     let text = format!(
-        "{GOOD}\n[listen]\nproxy = \"127.0.0.1:80\"\n[metrics]\nlisten = \"127.0.0.1:80\"\n"
+        "{VALID}\n[listen]\nproxy = \"127.0.0.1:80\"\n[metrics]\nlisten = \"127.0.0.1:80\"\n"
     );
-    let err = parse_settings(Path::new("daemon.toml"), &text).expect_err("bad settings");
+    let err = parse_settings(Path::new("daemon.toml"), &text).expect_err("invalid settings");
     assert!(err.to_string().contains("`listen.proxy` and `metrics.listen`"), "{err}");
 }
 
-/// An experiment leaves out a mechanism under a name that does not exist. Its figures would be those of
-/// the whole daemon.
+/// Guards against an experiment that disables a mechanism which does not exist: its measurements
+/// would be those of the complete daemon.
 #[test]
 fn unknown_mechanism() {
-    refusal(
-        &format!("{GOOD}\n[experiment]\noff = [\"work-kind\"]\n"),
+    assert_refusal(
+        &format!("{VALID}\n[experiment]\noff = [\"work-kind\"]\n"),
         expect![
             "daemon.toml:14:8: `off`: unknown variant `work-kind`, expected one of `work-kinds`, `failures`, `transit`, `wait-hints`, `outliers`, `failed-again`, `link-room`, `made-room`"
         ],
     );
 }
 
-/// A mechanism is left out outside of an experiment.
+/// A mechanism cannot be disabled outside of the experiment section.
 #[test]
 fn misplaced_mechanism() {
-    refusal(
-        &format!("{GOOD}\n[placing]\noff = [\"work-kinds\"]\n"),
+    assert_refusal(
+        &format!("{VALID}\n[placing]\noff = [\"work-kinds\"]\n"),
         expect![
             "daemon.toml:14:1: unknown field `off`, expected one of `order`, `warm_up_ms`, `retry_deposit`, `retry_burst`, `retry_margin`, `retry_floor`, `retry_shared`, `free_moves`"
         ],
@@ -155,8 +159,8 @@
 
 #[test]
 fn experiment_bounds() {
-    refusal(
-        &format!("{GOOD}\n[experiment]\ncold_hold = 1001\n"),
+    assert_refusal(
+        &format!("{VALID}\n[experiment]\ncold_hold = 1001\n"),
         expect!["daemon.toml:14:1: `experiment.cold_hold` is 1001; allowed: 0 to 1000"],
     );
 }
