--- a/components/ops/src/announcement.rs
+++ b/components/ops/src/announcement.rs
@@ -1,4 +1,7 @@
-//! What a daemon believes of an announcement.
+//! Checks of announcements and heartbeats of backend servers.
+//!
+//! They carry no token, so only those from the daemon's own instance are accepted. Otherwise
+//! another process could direct a service's requests to an address of its choice.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -9,21 +12,21 @@
 
 use crate::{OpsError, ServerAnnouncement, ServerBeat};
 
-/// Slots a server may claim. None would never be given work, and more than the largest server has
-/// would switch the guard's bound off.
-const SLOT_RULE: RangeInclusive<u32> = 1..=10_000;
-/// Longest identifier of a server's process, in characters. Every daemon is told of it.
+/// Slots that a server may announce. A server without slots would never receive work, and more
+/// slots than the largest server has would disable the guard's limit.
+const ALLOWED_SLOTS: RangeInclusive<u32> = 1..=10_000;
+/// Longest identifier of a server's process, in characters. It is sent to every daemon.
 const MAX_SERVER_CHARS: usize = 64;
-/// Most services beside one daemon. An instance runs one server or a few; each is told to the
-/// whole fleet, so one instance must not fill everyone's tables.
+/// Largest number of services beside one daemon. An instance runs one server or a few; each is sent
+/// to the whole fleet, so one instance must not fill the tables of all daemons.
 pub const MAX_SERVICES: usize = 16;
 
-/// Checks an announcement and gives the address the server listens at.
+/// Checks an announcement and returns the address that the server listens on.
 ///
-/// `sender` is where it came from, and `own` are the daemon's own IPs. Announcements bear no token,
-/// because a server beside the daemon has none. Whoever else could announce would draw a service's
-/// requests to an address of its choice, which callers would notice as answers of a stranger;
-/// hence both must be of this very instance.
+/// `sender` is the IP that the announcement came from, and `own_ips` are the daemon's own IPs.
+/// Announcements carry no token, because a backend server has none. A process elsewhere that could
+/// announce a server would receive a service's requests and answer them in its place; hence both
+/// the sender and the announced address must be of this instance.
 ///
 /// # Errors
 ///
@@ -32,61 +35,72 @@
 pub fn check_announcement(
     announcement: &ServerAnnouncement,
     sender: IpAddr,
-    own: &[IpAddr],
+    own_ips: &[IpAddr],
 ) -> Result<SocketAddr, OpsError> {
     let malformed = |reason: &dyn ToString| OpsError::Malformed { reason: reason.to_string() };
     check_path(&announcement.service).map_err(|err| malformed(&err))?;
     let address = announcement.address.parse::<SocketAddr>();
     let address = address.map_err(|_| malformed(&"`address`; allowed: IP and port"))?;
     match announcement {
-        _ if !is_local(sender, own) => Err(not_local("announcement came from")),
-        _ if !is_local(address.ip(), own) => Err(not_local("`address` is")),
+        _ if !is_own_instance(sender, own_ips) => {
+            Err(foreign_instance_error("announcement came from"))
+        }
+        _ if !is_own_instance(address.ip(), own_ips) => Err(foreign_instance_error("`address` is")),
         _ if address.port() == 0 => Err(malformed(&"`address`; allowed: a port from 1 on")),
-        announced if !is_server(&announced.server) => {
+        announcement if !is_server_id(&announcement.server) => {
             Err(malformed(&"`server`; allowed: 1 to 64 of A-Z a-z 0-9 - _ . :"))
         }
-        announced if !SLOT_RULE.contains(&announced.slots) => {
+        announcement if !ALLOWED_SLOTS.contains(&announcement.slots) => {
             Err(malformed(&"`slots`; allowed: 1 to 10000"))
         }
         _ => Ok(address),
     }
 }
 
-/// Checks a heartbeat of the server `name` and gives the address the server listens at.
+/// Checks a heartbeat of the server `name` and returns the address that the server listens on.
 ///
 /// # Errors
 ///
-/// Returns what [`check_announcement`] does for the same faults.
-pub fn check_beat(
+/// Returns the same errors as [`check_announcement`].
+pub fn check_heartbeat(
     name: &str,
     beat: &ServerBeat,
     sender: IpAddr,
-    own: &[IpAddr],
+    own_ips: &[IpAddr],
 ) -> Result<SocketAddr, OpsError> {
     let malformed = |reason: &dyn ToString| OpsError::Malformed { reason: reason.to_string() };
     let address = beat.address.parse::<SocketAddr>();
     let address = address.map_err(|_| malformed(&"`address`; allowed: IP and port"))?;
     match beat {
-        _ if !is_local(sender, own) => Err(not_local("heartbeat came from")),
-        _ if !is_local(address.ip(), own) => Err(not_local("`address` is")),
-        _ if !is_server(name) => Err(malformed(&"the id; allowed: 1 to 64 of A-Z a-z 0-9 - _ . :")),
+        _ if !is_own_instance(sender, own_ips) => {
+            Err(foreign_instance_error("heartbeat came from"))
+        }
+        _ if !is_own_instance(address.ip(), own_ips) => Err(foreign_instance_error("`address` is")),
+        _ if !is_server_id(name) => {
+            Err(malformed(&"the id; allowed: 1 to 64 of A-Z a-z 0-9 - _ . :"))
+        }
         _ if beat.service.is_empty() => Err(malformed(&"`service`; allowed: a name")),
-        beat if !SLOT_RULE.contains(&beat.slots) => Err(malformed(&"`slots`; allowed: 1 to 10000")),
+        beat if !ALLOWED_SLOTS.contains(&beat.slots) => {
+            Err(malformed(&"`slots`; allowed: 1 to 10000"))
+        }
         _ => Ok(address),
     }
 }
 
-fn not_local(what: &str) -> OpsError {
+/// Returns the refusal of an announcement or heartbeat that concerns another instance.
+fn foreign_instance_error(what: &str) -> OpsError {
     OpsError::Forbidden { reason: format!("{what} another instance; allowed: this one") }
 }
 
-/// An unspecified own address says nothing about which IP is the instance's own.
-fn is_local(ip: IpAddr, own: &[IpAddr]) -> bool {
+/// Returns whether an IP belongs to this instance. An unspecified address among `own_ips` matches
+/// nothing, because it does not show which IPs are the instance's own.
+fn is_own_instance(ip: IpAddr, own_ips: &[IpAddr]) -> bool {
     let ip = ip.to_canonical();
-    ip.is_loopback() || (!ip.is_unspecified() && own.contains(&ip))
+    ip.is_loopback() || (!ip.is_unspecified() && own_ips.contains(&ip))
 }
 
-fn is_server(server: &str) -> bool {
+/// Returns whether an identifier of a server has an allowed length and allowed characters only.
+fn is_server_id(server: &str) -> bool {
     let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.:".contains(&byte);
     (1..=MAX_SERVER_CHARS).contains(&server.len()) && server.bytes().all(allowed)
 }
--- a/components/ops/src/error.rs
+++ b/components/ops/src/error.rs
@@ -1,4 +1,6 @@
-//! Refusals as operators see them.
+//! Errors of the operators' interface and their HTTP status.
+//!
+//! Each error states whether the call took effect, so that operators know whether to repeat it.
 
 use dropshot::{ErrorStatusCode, HttpError, HttpResponseError};
 use schemars::JsonSchema;
@@ -7,74 +9,74 @@
 use sk_model::{ChangeId, ChangeRecord, ConfigFault, UnixMillis};
 use thiserror::Error;
 
-/// Why a call was refused. Every variant but [`OpsError::Unknown`] means that nothing was done.
+/// Why a call was refused. Except for [`OpsError::Unknown`], the call had no effect.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "refusal", rename_all = "kebab-case")]
 pub enum OpsError {
-    /// No token, or one that is not known.
+    /// The token is missing or unknown.
     #[error("the token is missing or not known")]
     Unauthorised,
-    /// The token does not reach that far.
+    /// The token does not permit the call, or the call comes from where it is not accepted.
     #[error("{reason}")]
     Forbidden {
-        /// What the token is for.
+        /// Why the call is not permitted.
         reason: String,
     },
-    /// Someone else changed the subtree since the operator read it.
+    /// Another change to the subtree was accepted after the operator read it.
     #[error("the subtree was changed meanwhile")]
     Raced {
-        /// Who changed what.
+        /// The changes accepted since then.
         conflicting: Vec<ChangeRecord>,
     },
-    /// The configuration would be at fault.
+    /// The configuration would be invalid.
     #[error("the configuration would be at fault")]
     Invalid {
-        /// All faults.
+        /// All faults found.
         faults: Vec<ConfigFault>,
     },
-    /// The request itself is not acceptable.
+    /// The request is malformed or a value is out of bounds.
     #[error("{reason}")]
     Malformed {
         /// What is wrong and what is allowed.
         reason: String,
     },
-    /// The change id belongs to another change.
-    #[error("change id {} is in use since version {}", record.change_id, record.version)]
+    /// The change identifier belongs to another change.
+    #[error("change id {} is already used by version {}", record.change_id, record.version)]
     IdReused {
-        /// The change that has it.
+        /// The change with this identifier.
         record: Box<ChangeRecord>,
     },
-    /// The platform is away; nothing was done and nothing will be.
+    /// The platform is unavailable; the call had no effect and will have none.
     #[error("not accepted; come back at {retry_at}")]
     NotAccepted {
-        /// When to come back, in milliseconds since the epoch on the daemon's clock.
+        /// When to retry, in milliseconds since the Unix epoch on the daemon's clock.
         retry_at: UnixMillis,
     },
-    /// It cannot be known now whether the change was accepted.
-    #[error("unknown; ask for change {change_id}")]
+    /// It is currently unknown whether the change was accepted.
+    #[error("outcome unknown; look up change {change_id}")]
     Unknown {
-        /// The id to ask for.
+        /// Identifier of the change to look up.
         change_id: ChangeId,
     },
-    /// The daemon holds no configuration yet, or is leaving.
+    /// The daemon has no configuration yet, or is stopping.
     #[error("the daemon is not ready")]
     NotReady,
-    /// There is no such thing.
+    /// The requested object does not exist.
     #[error("{what} does not exist")]
     NotFound {
-        /// What was asked for.
+        /// Kind and name of the object.
         what: String,
     },
-    /// The daemon or what the platform holds is at fault.
+    /// An internal error of the daemon, or invalid data in the platform.
     #[error("{reason}")]
     Internal {
-        /// What was seen.
+        /// Description of the error.
         reason: String,
     },
 }
 
 impl OpsError {
-    /// Turns a refusal of the ledger into one for operators.
+    /// Converts a refusal of the ledger; `now` is the start of a wait before a retry.
     pub fn from_submit(err: SubmitError, now: UnixMillis) -> Self {
         match err {
             SubmitError::Raced { conflicting } => Self::Raced { conflicting },
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Turns a failed read of the ledger into a refusal for operators.
+    /// Converts a failed read of the ledger; `now` is the start of a wait before a retry.
     pub fn from_ledger(err: &LedgerError, now: UnixMillis) -> Self {
         match err {
             LedgerError::Unavailable { retry_after } => {
--- a/components/ops/src/lib.rs
+++ b/components/ops/src/lib.rs
@@ -1,4 +1,7 @@
 //! The operators' HTTP interface, and the announcements of the local backend server.
+//!
+//! The interface checks tokens, sizes and fields before a call reaches the daemon, so that a
+//! malformed or unauthorised call has no effect.
 
 mod access;
 mod announcement;
@@ -8,11 +11,11 @@
 mod wire;
 
 pub use access::{hash_token, is_token};
-pub use announcement::{MAX_SERVICES, check_announcement, check_beat};
+pub use announcement::{MAX_SERVICES, check_announcement, check_heartbeat};
 pub use error::OpsError;
 pub use port::{OperatorPort, SharedPort};
 pub use server::{OpsHandle, start_ops};
 pub use wire::{
-    BeatAnswer, ControlView, HeldView, PeerView, ReadyView, RequestView, ServerAnnouncement,
+    ControlView, HeartbeatAnswer, HeldView, PeerView, ReadyView, RequestView, ServerAnnouncement,
     ServerBeat, ServerState, ServerView, StateDump, TeamRecord, TeamView,
 };
--- a/components/ops/src/port.rs
+++ b/components/ops/src/port.rs
@@ -1,4 +1,4 @@
-//! What the interface needs of the daemon.
+//! The daemon's functions that the operators' interface calls.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -11,59 +11,63 @@
 
 use crate::{HeldView, OpsError, ServerAnnouncement, ServerBeat, StateDump, TeamRecord};
 
-/// A port shared by the interface's handlers.
+/// A port that the interface's handlers share.
 pub type SharedPort = Arc<dyn OperatorPort>;
 
-/// The daemon as the operators' interface sees it.
+/// The daemon as the operators' interface uses it.
 ///
 /// # Errors
 ///
-/// Each method returns the [`OpsError`] that the operator is to see.
+/// Each method returns the [`OpsError`] that is sent to the operator.
 #[async_trait]
 pub trait OperatorPort: Send + Sync {
-    /// Gives the hash of the managers' token; empty refuses every manager's call.
+    /// Returns the hash of the managers' token; an empty one refuses all managers' calls.
     fn manager_sha256(&self) -> &str;
 
-    /// Reads a team, none where it was never created.
+    /// Reads a team, `None` where it was never created.
     async fn team(&self, team: &str) -> Result<Option<TeamRecord>, OpsError>;
 
-    /// Creates a team or gives it another token.
+    /// Creates a team or replaces its token.
     async fn put_team(&self, team: &TeamName, record: TeamRecord) -> Result<(), OpsError>;
 
     /// Submits a change on behalf of its team.
     async fn submit(&self, request: ChangeRequest) -> Result<ChangeRecord, OpsError>;
 
-    /// Looks a change up, none where it is not in force.
+    /// Looks up an accepted change, `None` where there is none with this identifier.
     async fn outcome(&self, change_id: &str) -> Result<Option<ChangeRecord>, OpsError>;
 
     /// Reads the newest accepted configuration.
     async fn newest(&self) -> Result<HeldView, OpsError>;
 
-    /// Reads history in version order.
-    async fn history(&self, from: Version, most: usize) -> Result<Vec<ChangeRecord>, OpsError>;
+    /// Reads up to `max_records` changes from version `from` on, in version order.
+    async fn history(
+        &self,
+        from: Version,
+        max_records: usize,
+    ) -> Result<Vec<ChangeRecord>, OpsError>;
 
-    /// Reports who holds what.
+    /// Reports which version each daemon applies.
     async fn report(&self) -> Result<FleetReport, OpsError>;
 
-    /// Reports how one change went through the fleet.
+    /// Reports how one change spread through the fleet.
     async fn change_report(&self, version: Version) -> Result<ChangeReport, OpsError>;
 
-    /// Gives the state of this daemon, without asking the platform.
+    /// Returns the state of this daemon, without a call to the platform.
     fn state(&self) -> StateDump;
 
-    /// Gives the IPs that the daemon is known by, besides loopback.
+    /// Returns the IPs of the daemon's instance, without loopback.
     fn own_ips(&self) -> Vec<IpAddr>;
 
-    /// Gives the version in force, none while the daemon must not be given requests.
+    /// Returns the version in force, `None` while the daemon must not receive requests.
     fn ready(&self) -> Option<Version>;
 
-    /// Takes a checked heartbeat of the local backend server `name`, which listens at `address`.
+    /// Handles a checked heartbeat of the local backend server `name`, which listens on `address`.
     fn beat(&self, name: &str, beat: ServerBeat, address: SocketAddr) -> Result<(), OpsError>;
 
-    /// Takes the good-bye of the local backend server `name`.
+    /// Handles the deregistration of the local backend server `name`.
     fn leave(&self, name: &str) -> Result<(), OpsError>;
 
-    /// Takes a checked announcement of the local backend server, which listens at `address`.
+    /// Handles a checked announcement of the local backend server, which listens on `address`.
     fn announce(
         &self,
         announcement: ServerAnnouncement,
--- a/components/ops/src/server.rs
+++ b/components/ops/src/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server of the operators' interface.
+//! The HTTP server of the operators' interface, which checks tokens and bounds.
 
 use std::net::SocketAddr;
 
@@ -15,26 +15,27 @@
 use sk_report::{ChangeReport, FleetReport};
 
 use crate::{
-    BeatAnswer, HeldView, OpsError, ReadyView, ServerAnnouncement, ServerBeat, SharedPort,
+    HeartbeatAnswer, HeldView, OpsError, ReadyView, ServerAnnouncement, ServerBeat, SharedPort,
     StateDump, TeamRecord,
     access::is_token,
-    announcement::{check_announcement, check_beat},
+    announcement::{check_announcement, check_heartbeat},
 };
 
-/// A change holds at most one subtree, which fits a platform value; JSON escapes may double it.
+/// Largest request body, in bytes. A change holds at most one subtree, which fits one platform
+/// value; JSON escapes may double its size.
 const MAX_BODY_BYTES: usize = 2_000_000;
-/// Records of history given at once.
-const MAX_HISTORY: usize = 500;
+/// Largest number of history records in one answer.
+const MAX_HISTORY_RECORDS: usize = 500;
 
 type OpsRequest = RequestContext<SharedPort>;
 type OpsResult<T> = Result<HttpResponseOk<T>, OpsError>;
 
-/// A running interface.
+/// A running operators' interface.
 pub struct OpsHandle {
     server: HttpServer<SharedPort>,
 }
 
-/// Starts the interface.
+/// Starts the operators' interface.
 ///
 /// # Errors
 ///
@@ -47,26 +48,28 @@
     };
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let failed = |err: &dyn ToString| OpsError::Internal { reason: err.to_string() };
-    let api = describe_api().map_err(|err| failed(&err))?;
+    let api = register_endpoints().map_err(|err| failed(&err))?;
     let builder = ServerBuilder::new(api, port, log).config(config);
     Ok(OpsHandle { server: builder.start().map_err(|err| failed(&err))? })
 }
 
 impl OpsHandle {
-    /// Gives the address it listens at.
+    /// Returns the address that the interface listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.local_addr()
     }
 
-    /// Stops the interface after the calls in flight.
+    /// Stops the interface after the calls in flight have ended.
     pub async fn stop(self) {
         if let Err(reason) = self.server.close().await {
-            log::warn!("ops: stopped badly: {reason}.");
+            log::warn!("ops: the interface did not stop cleanly: {reason}.");
         }
     }
 }
 
-fn describe_api() -> Result<ApiDescription<SharedPort>, dropshot::ApiDescriptionRegisterError> {
+/// Registers all endpoints.
+fn register_endpoints() -> Result<ApiDescription<SharedPort>, dropshot::ApiDescriptionRegisterError>
+{
     let mut api = ApiDescription::new();
     api.register(post_change)?;
     api.register(get_change)?;
@@ -83,14 +86,16 @@
     Ok(api)
 }
 
-fn bearer(request: &OpsRequest) -> Result<&str, OpsError> {
+/// Returns the bearer_token token of a request.
+fn bearer_token(request: &OpsRequest) -> Result<&str, OpsError> {
     let header = request.request.headers().get(header::AUTHORIZATION);
     let token = header.and_then(|value| value.to_str().ok()?.strip_prefix("Bearer "));
     token.ok_or(OpsError::Unauthorised)
 }
 
+/// Refuses a request that does not carry the managers' token.
 fn require_manager(request: &OpsRequest) -> Result<(), OpsError> {
-    match is_token(bearer(request)?, request.context().manager_sha256()) {
+    match is_token(bearer_token(request)?, request.context().manager_sha256()) {
         true => Ok(()),
         false => Err(OpsError::Unauthorised),
     }
@@ -101,7 +106,8 @@
     check_team(team).map_err(|err| OpsError::Malformed { reason: err.to_string() })
 }
 
-/// Bounds a change id before anything is asked of the platform; its shape is the ledger's to check.
+/// Checks the length of a change identifier before any call to the platform; the ledger checks its
+/// characters.
 fn require_change_id(id: &str) -> Result<(), OpsError> {
     match (1..=MAX_CHANGE_ID_BYTES).contains(&id.len()) {
         true => Ok(()),
@@ -109,8 +115,9 @@
     }
 }
 
+/// Refuses a request that does not carry the token of `team`.
 async fn require_team(request: &OpsRequest, team: &str) -> Result<(), OpsError> {
-    let token = bearer(request)?;
+    let token = bearer_token(request)?;
     require_team_name(team)?;
     match request.context().team(team).await? {
         Some(record) if is_token(token, &record.token_sha256) => Ok(()),
@@ -156,28 +163,28 @@
     let id = change.change_id.clone();
     let result = request.context().submit(change).await;
     if let Err(err) = &result {
-        // The status only: a reason may quote what the change holds.
+        // Only the status is logged, because a reason may quote the content of the change.
         log::info!("ops: change {id:?} ended with status {}.", err.status_code().as_u16());
     }
     Ok(HttpResponseOk(result?))
 }
 
-/// Looks a change up.
+/// Looks up a change.
 #[endpoint { method = GET, path = "/v1/changes/{id}" }]
 async fn get_change(request: OpsRequest, path: Path<ChangePath>) -> OpsResult<ChangeRecord> {
-    bearer(&request)?;
+    bearer_token(&request)?;
     let id = path.into_inner().id;
     require_change_id(&id)?;
     let record = request.context().outcome(&id).await?;
     let record = record.ok_or(OpsError::NotFound { what: format!("change {id}") })?;
-    // Without this, a guessed id would show one team's paths and authors to another.
+    // Without this check, a guessed identifier would show one team's paths and authors to another.
     if require_manager(&request).is_err() {
         require_team(&request, &record.team).await?;
     }
     Ok(HttpResponseOk(record))
 }
 
-/// Reads the settings of one team, or of all with the managers' token.
+/// Reads the settings of one team, or of all teams with the managers' token.
 #[endpoint { method = GET, path = "/v1/settings" }]
 async fn get_settings(request: OpsRequest, query: Query<TeamQuery>) -> OpsResult<HeldView> {
     let team = query.into_inner().team;
@@ -191,7 +198,7 @@
     Ok(HttpResponseOk(view))
 }
 
-/// Reads history.
+/// Reads the history of changes.
 #[endpoint { method = GET, path = "/v1/history" }]
 async fn get_history(
     request: OpsRequest,
@@ -199,17 +206,17 @@
 ) -> OpsResult<Vec<ChangeRecord>> {
     require_manager(&request)?;
     let from = query.into_inner().from.unwrap_or(1);
-    Ok(HttpResponseOk(request.context().history(from, MAX_HISTORY).await?))
+    Ok(HttpResponseOk(request.context().history(from, MAX_HISTORY_RECORDS).await?))
 }
 
-/// Reports who holds what.
+/// Reports which version each daemon applies.
 #[endpoint { method = GET, path = "/v1/report" }]
 async fn get_report(request: OpsRequest) -> OpsResult<FleetReport> {
     require_manager(&request)?;
     Ok(HttpResponseOk(request.context().report().await?))
 }
 
-/// Reports how one change went through the fleet.
+/// Reports how one change spread through the fleet.
 #[endpoint { method = GET, path = "/v1/report/changes/{version}" }]
 async fn get_change_report(
     request: OpsRequest,
@@ -220,13 +227,13 @@
     Ok(HttpResponseOk(request.context().change_report(version).await?))
 }
 
-/// Dumps the daemon's state; it works without the platform and shows no secret.
+/// Returns the daemon's state. It works without the platform and shows no secret.
 #[endpoint { method = GET, path = "/v1/state" }]
 async fn get_state(request: OpsRequest) -> OpsResult<StateDump> {
     Ok(HttpResponseOk(request.context().state()))
 }
 
-/// Creates a team or gives it another token.
+/// Creates a team or replaces its token.
 #[endpoint { method = PUT, path = "/v1/teams/{team}" }]
 async fn put_team(
     request: OpsRequest,
@@ -242,11 +249,11 @@
         return Err(OpsError::Malformed { reason });
     }
     request.context().put_team(&team, record).await?;
-    log::info!("ops: team {team} has another token.");
+    log::info!("ops: the token of team {team} was set.");
     Ok(HttpResponseUpdatedNoContent())
 }
 
-/// Takes an announcement of the local backend server.
+/// Handles an announcement of the local backend server.
 #[endpoint { method = PUT, path = "/v1/server" }]
 async fn put_server(
     request: OpsRequest,
@@ -264,7 +271,8 @@
     id: String,
 }
 
-/// Tells whether callers may be sent here: a configuration is in force and the daemon stays.
+/// Returns whether the daemon accepts callers' requests: a configuration is in force and the daemon
+/// is not stopping.
 #[endpoint { method = GET, path = "/v1/ready" }]
 async fn get_ready(request: OpsRequest) -> OpsResult<ReadyView> {
     match request.context().ready() {
@@ -273,28 +281,28 @@
     }
 }
 
-/// Takes a heartbeat of the local backend server.
+/// Handles a heartbeat of the local backend server.
 #[endpoint { method = POST, path = "/v1/servers/{id}/heartbeat" }]
 async fn post_beat(
     request: OpsRequest,
     path: Path<ServerPath>,
     body: UntypedBody,
-) -> OpsResult<BeatAnswer> {
+) -> OpsResult<HeartbeatAnswer> {
     let id = path.into_inner().id;
     let beat: ServerBeat = serde_json::from_slice(body.as_bytes()).map_err(|err| {
-        // Another writer's heartbeat: it names no server, and the others hold.
-        log::warn!("ops: a heartbeat of {id:?} cannot be read: {err}.");
+        // A heartbeat of an unknown form changes no server; accepted heartbeats stay valid.
+        log::warn!("ops: cannot decode a heartbeat of server {id:?}: {err}.");
         OpsError::Malformed { reason: err.to_string() }
     })?;
     let sender = request.request.remote_addr().ip();
-    let address = check_beat(&id, &beat, sender, &request.context().own_ips())?;
+    let address = check_heartbeat(&id, &beat, sender, &request.context().own_ips())?;
     request.context().beat(&id, beat, address)?;
-    Ok(HttpResponseOk(BeatAnswer::default()))
+    Ok(HttpResponseOk(HeartbeatAnswer::default()))
 }
 
-/// Takes the good-bye of the local backend server.
+/// Handles the deregistration of the local backend server.
 #[endpoint { method = POST, path = "/v1/servers/{id}/leave" }]
-async fn post_leave(request: OpsRequest, path: Path<ServerPath>) -> OpsResult<BeatAnswer> {
+async fn post_leave(request: OpsRequest, path: Path<ServerPath>) -> OpsResult<HeartbeatAnswer> {
     request.context().leave(&path.into_inner().id)?;
-    Ok(HttpResponseOk(BeatAnswer::default()))
+    Ok(HttpResponseOk(HeartbeatAnswer::default()))
 }
--- a/components/ops/src/wire.rs
+++ b/components/ops/src/wire.rs
@@ -1,4 +1,4 @@
-//! Bodies of the operators' interface.
+//! Request and answer bodies of the operators' interface.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -9,58 +9,57 @@
     UnixMillis, Version,
 };
 
-/// What a backend server says of itself to the daemon beside it.
+/// Announcement of a backend server to the daemon beside it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ServerAnnouncement {
     /// Service it runs.
     pub service: ServiceName,
-    /// Identifier its process drew at its start.
+    /// Identifier that its process chose at its start.
     pub server: String,
-    /// Where it listens, as IP and port.
+    /// Address that it listens on, as IP and port.
     pub address: String,
-    /// Requests it works on at once, 1 to 10000.
+    /// Requests that it runs concurrently, 1 to 10000.
     pub slots: u32,
-    /// Whether it takes no new work.
+    /// Whether it accepts no new work.
     #[serde(default)]
     pub is_draining: bool,
 }
 
-/// A heartbeat of the local backend server, in the platform's form. Fields that are not listed are
-/// of no use here.
+/// A heartbeat of the local backend server, in the platform's format. Other fields are ignored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct ServerBeat {
     /// Service it runs, as the platform names it.
     pub service: String,
-    /// Where it listens, as IP and port.
+    /// Address that it listens on, as IP and port.
     pub address: String,
-    /// Requests it works on at once, 1 to 10000.
+    /// Requests that it runs concurrently, 1 to 10000.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub state: ServerState,
-    /// Milliseconds for which it is still slow after its start.
+    /// Milliseconds for which it will still be slow after its start.
     #[serde(default)]
     pub warm_up_left: u64,
-    /// Counts its heartbeats.
+    /// Sequence number of the heartbeat.
     pub sequence: u64,
-    /// Start of its process in milliseconds since the epoch, on its own clock.
+    /// Start of its process in milliseconds since the Unix epoch, on its own clock.
     #[serde(default)]
     pub born: Option<UnixMillis>,
 }
 
-/// Whether a backend server takes new work.
+/// Whether a backend server accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum ServerState {
-    /// Takes new work.
+    /// It accepts new work.
     Ready,
-    /// Finishes what it has.
+    /// It finishes its requests in flight and accepts no new ones.
     Draining,
 }
 
-/// Answer to a heartbeat or a good-bye that was taken.
+/// Answer to an accepted heartbeat or deregistration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
-pub struct BeatAnswer {}
+pub struct HeartbeatAnswer {}
 
 /// Answer of a daemon that is ready.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
@@ -69,7 +68,7 @@
     pub version: Version,
 }
 
-/// A team as the platform keeps it.
+/// A team as the platform stores it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct TeamRecord {
@@ -77,10 +76,10 @@
     pub token_sha256: String,
 }
 
-/// A team's settings.
+/// The accepted settings of one team.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct TeamView {
-    /// Version that last changed them, the base of the next change.
+    /// Version that last changed them; it is the `base` of the next change.
     pub version: Version,
     /// Settings by path.
     pub settings: BTreeMap<SettingPath, SettingBody>,
@@ -89,107 +88,107 @@
 /// The accepted configuration as the caller may see it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct HeldView {
-    /// Version of the whole.
+    /// Version of the configuration.
     pub version: Version,
-    /// Teams.
+    /// Settings by team.
     pub teams: BTreeMap<TeamName, TeamView>,
 }
 
-/// Another daemon as this one believes it to be.
+/// Another daemon as this daemon knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct PeerView {
     /// Its data centre.
     pub data_centre: DataCentre,
-    /// Start of its process, in milliseconds since the epoch.
+    /// Start of its process, in milliseconds since the Unix epoch.
     pub incarnation: u64,
-    /// Its own count of changes.
+    /// Sequence number of its record, which it raises with every change.
     pub sequence: u64,
-    /// Whether it takes part.
+    /// Its membership status: `alive`, `suspect`, `leaving` or `gone`.
     pub status: String,
-    /// What this daemon alone believes of it: `reachable`, `suspect` or `unreachable`.
+    /// How this daemon alone judges it: `reachable`, `suspect` or `unreachable`.
     pub mark: String,
     /// Services of the backend servers beside it, with their status.
     pub services: BTreeMap<ServiceName, String>,
 }
 
-/// A backend server beside this daemon.
+/// A backend server beside this daemon, with the guard's counts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct ServerView {
-    /// Its process.
+    /// Identifier of its process.
     pub server: String,
-    /// Whether it takes new work.
+    /// Whether it accepts new work: `ready` or `draining`.
     pub status: String,
-    /// Requests it works on at once.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// Slots the guard uses now: fewer while the server is cold.
+    /// Slots that the guard uses now: fewer while the server is warming up.
     pub open_slots: u32,
-    /// Requests that run there, short and long.
+    /// Running requests, short and long.
     pub running: [u32; 2],
-    /// Requests that wait for a slot, short and long.
+    /// Requests waiting for a slot, short and long.
     pub queued: [u32; 2],
 }
 
 /// The control traffic of one daemon.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct ControlView {
-    /// Whether the daemon holds what it must before it serves.
+    /// Whether the daemon has the configuration and members that it needs to serve.
     pub is_ready: bool,
     /// Whether it watches the platform for its data centre.
     pub is_relay: bool,
-    /// The relays of its data centre, first choice first.
+    /// The relays of its data centre, in order of preference.
     pub relays: Vec<ProxyId>,
-    /// Daemons it exchanges heartbeats with.
+    /// Daemons that it exchanges heartbeats with.
     pub links: Vec<ProxyId>,
-    /// What the platform said last; none while it answers.
+    /// The last error of the configuration source, `None` while the source answers.
     pub source_fault: Option<String>,
-    /// Milliseconds since the platform was known to have nothing newer than what is held here; none
-    /// where that is not known.
+    /// Milliseconds since the configuration source was known to have no newer version than this
+    /// daemon, `None` where that is unknown.
     pub source_age_ms: Option<u64>,
     /// Fetches served to other daemons.
     pub fetches_served: u64,
-    /// Fetches refused because too many were served at once.
+    /// Fetches refused because too many were being served.
     pub fetches_refused: u64,
-    /// Newest version under which another daemon holds another content; zero where none does.
+    /// Newest version for which another daemon has different content, 0 where there is none.
     pub diverged: Version,
     /// Payload bytes sent, by kind of call.
     pub sent_bytes: BTreeMap<String, u64>,
-    /// Data centres whose acknowledgements wait to be kept in the platform.
+    /// Data centres whose acknowledgements are not yet stored in the platform.
     pub pending_reports: u64,
 }
 
-/// Callers' requests of one daemon since its start.
+/// Counts of callers' requests at one daemon since its start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct RequestView {
-    /// In this daemon now.
+    /// Requests in this daemon now.
     pub in_flight: u64,
-    /// Answered by a server.
+    /// Requests answered by a server.
     pub ran: u64,
-    /// Not run.
+    /// Requests that did not run.
     pub not_run: u64,
-    /// Not known whether run.
+    /// Requests of which it is unknown whether they ran.
     pub unknown: u64,
-    /// Answers of the daemon's own, by reason.
+    /// Answers that the daemon gave itself, by reason.
     pub refused: BTreeMap<String, u64>,
     /// Attempts after the first.
     pub retries: u64,
-    /// Whole retries that each service may still be sent.
+    /// Whole retries left in the retry budget of each service.
     pub retries_left: BTreeMap<ServiceName, u64>,
 }
 
-/// The state of one daemon. Holds no secret.
+/// The state of one daemon. It contains no secret.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct StateDump {
-    /// This daemon.
+    /// Name of this daemon.
     pub proxy: ProxyId,
     /// Its data centre.
     pub data_centre: DataCentre,
     /// Version in force.
     pub version: Version,
-    /// Since when, on its clock.
+    /// When that version came into force, on the daemon's clock.
     pub since: UnixMillis,
-    /// Where the version came from.
+    /// The daemon that sent the version, or `platform`.
     pub source: ProxyId,
-    /// The newest version refused.
+    /// The newest version that was rejected, if any.
     pub rejected: Option<RejectedVersion>,
     /// Control bytes sent.
     pub control_sent: u64,
@@ -197,16 +196,16 @@
     pub control_received: u64,
     /// Requests suspected of crashing servers.
     pub suspects: u64,
-    /// Of these, requests that are refused for it.
+    /// Number of these requests that are refused because of it.
     pub quarantined: u64,
-    /// Address for callers.
+    /// Address that callers connect to.
     pub proxy_address: SocketAddr,
-    /// The control traffic.
+    /// Control traffic.
     pub control: ControlView,
     /// Callers' requests since the start.
     pub requests: RequestView,
     /// Backend servers beside it, by service.
     pub servers: BTreeMap<ServiceName, ServerView>,
-    /// Other daemons and this one.
+    /// All known daemons, this one included.
     pub members: BTreeMap<ProxyId, PeerView>,
 }
--- a/components/ops/tests/bad_input.rs
+++ b/components/ops/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Whatever arrives, the interface answers with a typed error and does nothing.
+//! Any invalid input is answered with a typed error and has no effect.
 
 mod common;
 
@@ -13,7 +13,7 @@
 const BODY_CALLS: [(&str, &str); 3] =
     [("POST", "/v1/changes"), ("PUT", "/v1/teams/ledvica"), ("PUT", "/v1/server")];
 
-/// Bytes, and JSON that nearly is what the interface takes.
+/// Random bytes, and JSON that resembles valid bodies.
 fn any_body() -> impl Strategy<Value = Vec<u8>> {
     let field = prop_oneof![
         Just("change_id"),
@@ -53,39 +53,39 @@
     #![proptest_config(ProptestConfig::with_cases(200))]
 
     #[test]
-    fn any_call(call in 0..BODY_CALLS.len(), headers in any_headers(), body in any_body()) {
+    fn any_call_is_refused(call in 0..BODY_CALLS.len(), headers in any_headers(), body in any_body()) {
         let (method, path) = BODY_CALLS[call];
         let answer = SERVER.call_raw(method, path, &headers, &body);
         prop_assert!((400..500).contains(&answer.status), "{:?}", answer);
         prop_assert!(answer.refusal().is_some(), "{:?}", answer);
-        prop_assert_eq!(SERVER.port.written(), 0);
+        prop_assert_eq!(SERVER.port.write_count(), 0);
     }
 
     #[test]
-    fn any_path(segment in "[!-~&&[^?#/ ]]{0,90}", root in 0..5usize) {
+    fn any_path_is_refused(segment in "[!-~&&[^?#/ ]]{0,90}", root in 0..5usize) {
         let roots =
             ["/v1/changes/", "/v1/settings?team=", "/v1/history?from=", "/v1/report/changes/", "/"];
         let path = format!("{}{segment}", roots[root]);
         let answer = SERVER.call("GET", &path, "unknown", b"");
         prop_assert!((400..500).contains(&answer.status), "{:?}", answer);
-        // What is no URI is refused below the interface, by the HTTP library.
+        // An invalid URI is refused by the HTTP library before it reaches the interface.
         if path.parse::<http::Uri>().is_err() {
             return Ok(());
         }
-        // Paths that are not the interface's get the library's own JSON error.
+        // For unknown paths the library answers with its own JSON error.
         let body = serde_json::from_str::<serde_json::Value>(&answer.body).unwrap_or_default();
         prop_assert!(answer.refusal().is_some() || body["message"].is_string(), "{:?}", answer);
     }
 }
 
 #[test]
-fn too_large() {
+fn large_body() {
     let body = vec![b' '; 2_000_001];
     for (method, path) in BODY_CALLS {
         let answer = SERVER.call(method, path, MANAGER, &body);
         assert_eq!(answer.refusal().as_deref(), Some("malformed"), "{path}: {answer:?}");
     }
-    assert_eq!(SERVER.port.written(), 0);
+    assert_eq!(SERVER.port.write_count(), 0);
 }
 
 #[test]
--- a/components/ops/tests/common/mod.rs
+++ b/components/ops/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! An operators' interface over a fake daemon that counts what reaches it.
+//! An operators' interface with a fake daemon that counts the calls that reach it.
 
-#![allow(dead_code)] // Each test file uses a part of it.
+#![allow(dead_code)] // Each test file uses only a part of this module.
 
 use std::{
     collections::BTreeMap,
@@ -25,9 +25,9 @@
 pub const MANAGER: &str = "manager token";
 pub const TEAM: &str = "team token";
 /// A team that was created without a token.
-pub const SHUT_TEAM: &str = "shut";
+pub const TOKENLESS_TEAM: &str = "shut";
 
-/// A daemon with two teams and one change, which counts the writes that reach it.
+/// A daemon with three teams and one change, which counts reads and writes.
 pub struct FakePort {
     manager_sha256: String,
     pub writes: AtomicUsize,
@@ -39,15 +39,15 @@
         Arc::new(Self { manager_sha256, writes: AtomicUsize::new(0), reads: AtomicUsize::new(0) })
     }
 
-    fn read(&self) {
+    fn count_read(&self) {
         self.reads.fetch_add(1, Ordering::SeqCst);
     }
 
-    fn write(&self) {
+    fn count_write(&self) {
         self.writes.fetch_add(1, Ordering::SeqCst);
     }
 
-    pub fn written(&self) -> usize {
+    pub fn write_count(&self) -> usize {
         self.writes.load(Ordering::SeqCst)
     }
 }
@@ -75,44 +75,44 @@
         let token_sha256 = match team {
             "ledvica" => hash_token(TEAM),
             "rest" => hash_token("another"),
-            SHUT_TEAM => String::new(),
+            TOKENLESS_TEAM => String::new(),
             _ => return Ok(None),
         };
         Ok(Some(TeamRecord { token_sha256 }))
     }
 
     async fn put_team(&self, _: &TeamName, _: TeamRecord) -> Result<(), OpsError> {
-        self.write();
+        self.count_write();
         Ok(())
     }
 
     async fn submit(&self, _: ChangeRequest) -> Result<ChangeRecord, OpsError> {
-        self.write();
+        self.count_write();
         Ok(record())
     }
 
     async fn outcome(&self, change_id: &str) -> Result<Option<ChangeRecord>, OpsError> {
-        self.read();
+        self.count_read();
         Ok((change_id == "c1").then(record))
     }
 
     async fn newest(&self) -> Result<HeldView, OpsError> {
-        self.read();
+        self.count_read();
         Ok(HeldView { version: 1, teams: BTreeMap::new() })
     }
 
     async fn history(&self, _: Version, _: usize) -> Result<Vec<ChangeRecord>, OpsError> {
-        self.read();
+        self.count_read();
         Ok(vec![record()])
     }
 
     async fn report(&self) -> Result<FleetReport, OpsError> {
-        self.read();
+        self.count_read();
         Err(OpsError::NotAccepted { retry_at: 1 })
     }
 
     async fn change_report(&self, version: Version) -> Result<ChangeReport, OpsError> {
-        self.read();
+        self.count_read();
         Err(OpsError::NotFound { what: format!("version {version}") })
     }
 
@@ -137,7 +137,7 @@
     }
 
     fn announce(&self, _: ServerAnnouncement, _: SocketAddr) -> Result<(), OpsError> {
-        self.write();
+        self.count_write();
         Ok(())
     }
 }
@@ -146,7 +146,7 @@
 pub struct TestServer {
     pub port: Arc<FakePort>,
     address: SocketAddr,
-    // Ends with the runtime.
+    // Stops when the runtime is dropped.
     _handle: OpsHandle,
     _runtime: Runtime,
 }
@@ -159,7 +159,7 @@
 }
 
 impl Answer {
-    /// Gives the kind of the refusal, none where the body is no typed error.
+    /// Returns the kind of the refusal, `None` where the body is not a typed error.
     pub fn refusal(&self) -> Option<String> {
         let body: serde_json::Value = serde_json::from_str(&self.body).ok()?;
         serde_json::from_value::<OpsError>(body.clone()).ok()?;
--- a/components/ops/tests/rogue_announcement.rs
+++ b/components/ops/tests/foreign_announcement.rs
@@ -1,4 +1,4 @@
-//! Only a server of the daemon's own instance can announce itself.
+//! Only a server on the daemon's own instance can announce itself.
 
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
 
@@ -20,9 +20,9 @@
 }
 
 #[test]
-fn rogue_address() {
-    // A process announces an address of another machine. Every caller of the service would be sent
-    // there, and the answers would be a stranger's.
+fn foreign_address() {
+    // A process announces an address of another machine. All callers of the service would be sent
+    // there, and another process would answer them.
     for address in ["127.0.0.1:80", "[::1]:80", "10.0.0.7:80", "[::ffff:10.0.0.7]:80"] {
         assert!(check_announcement(&announcement(address), LOOPBACK, &OWN).is_ok(), "{address}");
     }
@@ -33,33 +33,33 @@
 }
 
 #[test]
-fn rogue_sender() {
-    // Another instance announces a server for this one, say as draining, which would take the
-    // living one out of service.
-    let good = announcement("127.0.0.1:80");
+fn foreign_sender() {
+    // Another instance announces a server of this instance, for example as draining, which would
+    // take the running server out of service.
+    let valid = announcement("127.0.0.1:80");
     for sender in [LOOPBACK, OWN[0], IpAddr::V6(Ipv6Addr::LOCALHOST)] {
-        assert!(check_announcement(&good, sender, &OWN).is_ok(), "{sender}");
+        assert!(check_announcement(&valid, sender, &OWN).is_ok(), "{sender}");
     }
-    let rogue = check_announcement(&good, Ipv4Addr::new(10, 0, 0, 8).into(), &OWN);
-    assert!(matches!(rogue, Err(OpsError::Forbidden { .. })), "{rogue:?}");
+    let foreign = check_announcement(&valid, Ipv4Addr::new(10, 0, 0, 8).into(), &OWN);
+    assert!(matches!(foreign, Err(OpsError::Forbidden { .. })), "{foreign:?}");
 }
 
 #[test]
 fn field_bounds() {
-    let good = announcement("127.0.0.1:80");
+    let valid = announcement("127.0.0.1:80");
     let long = "x".repeat(65);
-    let bad = [
-        ServerAnnouncement { service: "board".to_owned(), ..good.clone() },
-        ServerAnnouncement { service: "/ledvica/../x".to_owned(), ..good.clone() },
-        ServerAnnouncement { server: String::new(), ..good.clone() },
-        ServerAnnouncement { server: long, ..good.clone() },
-        ServerAnnouncement { server: "a b".to_owned(), ..good.clone() },
-        ServerAnnouncement { slots: 0, ..good.clone() },
-        ServerAnnouncement { slots: 10_001, ..good.clone() },
+    let invalid = [
+        ServerAnnouncement { service: "board".to_owned(), ..valid.clone() },
+        ServerAnnouncement { service: "/ledvica/../x".to_owned(), ..valid.clone() },
+        ServerAnnouncement { server: String::new(), ..valid.clone() },
+        ServerAnnouncement { server: long, ..valid.clone() },
+        ServerAnnouncement { server: "a b".to_owned(), ..valid.clone() },
+        ServerAnnouncement { slots: 0, ..valid.clone() },
+        ServerAnnouncement { slots: 10_001, ..valid.clone() },
         announcement("127.0.0.1:0"),
         announcement("board.example:80"),
     ];
-    for announced in bad {
+    for announced in invalid {
         let checked = check_announcement(&announced, LOOPBACK, &OWN);
         assert!(matches!(checked, Err(OpsError::Malformed { .. })), "{announced:?}: {checked:?}");
     }
@@ -67,7 +67,7 @@
 
 proptest! {
     #[test]
-    fn any_address(ip in any::<IpAddr>(), sender in any::<IpAddr>(), port in 1..=u16::MAX) {
+    fn only_own_addresses(ip in any::<IpAddr>(), sender in any::<IpAddr>(), port in 1..=u16::MAX) {
         let address = std::net::SocketAddr::new(ip, port);
         let checked = check_announcement(&announcement(&address.to_string()), sender, &OWN);
         let is_local =
--- a/components/ops/tests/token_rules.rs
+++ b/components/ops/tests/token_rules.rs
@@ -1,10 +1,10 @@
-//! Each team changes and reads its own; managers' calls need the managers' token.
+//! Each team changes and reads only its own settings; managers' calls need the managers' token.
 
 mod common;
 
 use std::sync::atomic::Ordering;
 
-use common::{MANAGER, SHUT_TEAM, TEAM, TestServer};
+use common::{MANAGER, TEAM, TOKENLESS_TEAM, TestServer};
 use sk_model::is_hash;
 use sk_ops::{hash_token, is_token};
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn hash_compare() {
+fn token_matches_hash() {
     let hash = hash_token(TEAM);
     assert!(is_token(TEAM, &hash) && is_hash(&hash));
     for (token, hash) in
@@ -33,16 +33,16 @@
 }
 
 #[test]
-fn wrong_team() {
-    // A team's token is used on another team's subtree. Were it taken, one team's mistake would
-    // change what another team's callers get.
+fn team_token_is_checked() {
+    // A team's token is used on another team's subtree. If it were accepted, one team's mistake
+    // would change what another team's callers receive.
     let server = TestServer::start(hash_token(MANAGER));
     let cases = [
         ("ledvica", TEAM, 200, None),
         ("ledvica", MANAGER, 403, Some("forbidden")),
         ("rest", TEAM, 403, Some("forbidden")),
-        (SHUT_TEAM, "", 401, Some("unauthorised")),
-        (SHUT_TEAM, TEAM, 403, Some("forbidden")),
+        (TOKENLESS_TEAM, "", 401, Some("unauthorised")),
+        (TOKENLESS_TEAM, TEAM, 403, Some("forbidden")),
         ("missing", TEAM, 404, Some("not-found")),
         ("../x", TEAM, 400, Some("malformed")),
         ("a/b", TEAM, 400, Some("malformed")),
@@ -52,12 +52,12 @@
         assert_eq!(answer.status, status, "{team} {token}: {answer:?}");
         assert_eq!(answer.refusal().as_deref(), refusal, "{team} {token}: {answer:?}");
     }
-    assert_eq!(server.port.written(), 1);
+    assert_eq!(server.port.write_count(), 1);
 }
 
 #[test]
 fn foreign_change() {
-    // A guessed id would show another team's paths and authors.
+    // A guessed identifier would show another team's paths and authors.
     let server = TestServer::start(hash_token(MANAGER));
     for (token, status) in [(TEAM, 200), (MANAGER, 200), ("another", 403), ("", 401)] {
         let answer = server.call("GET", "/v1/changes/c1", token, b"");
@@ -74,7 +74,7 @@
 ];
 
 #[test]
-fn wrong_manager() {
+fn manager_token_is_checked() {
     let server = TestServer::start(hash_token(MANAGER));
     for token in ["", TEAM, "manager toke", &hash_token(MANAGER)] {
         for (method, path) in MANAGER_CALLS {
@@ -85,12 +85,12 @@
         let answer = server.call("PUT", "/v1/teams/ledvica", token, &record);
         assert_eq!(answer.refusal().as_deref(), Some("unauthorised"), "{answer:?}");
     }
-    assert_eq!(server.port.reads.load(Ordering::SeqCst) + server.port.written(), 0);
+    assert_eq!(server.port.reads.load(Ordering::SeqCst) + server.port.write_count(), 0);
 }
 
 #[test]
 fn empty_manager_hash() {
-    // The settings name no manager. An empty hash must not be matched by an empty token.
+    // The settings have no hash of a managers' token. An empty token must not match the empty hash.
     let server = TestServer::start(String::new());
     for token in ["", MANAGER] {
         let answer = server.call("GET", "/v1/history", token, b"");
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn team_names() {
+fn team_name_bounds() {
     let server = TestServer::start(hash_token(MANAGER));
     let hash = hash_token("x");
     let long = "x".repeat(65);
@@ -112,7 +112,7 @@
         let answer = server.call("PUT", "/v1/teams/a", MANAGER, &team_record(hash));
         assert_eq!(answer.refusal().as_deref(), Some("malformed"), "{hash}: {answer:?}");
     }
-    assert_eq!(server.port.written(), 0);
+    assert_eq!(server.port.write_count(), 0);
     let answer = server.call("PUT", "/v1/teams/a", MANAGER, &team_record(&hash));
-    assert_eq!((answer.status, server.port.written()), (204, 1), "{answer:?}");
+    assert_eq!((answer.status, server.port.write_count()), (204, 1), "{answer:?}");
 }
