--- a/components/daemon/src/contacts.rs
+++ b/components/daemon/src/contacts.rs
@@ -1,4 +1,6 @@
-//! Contacts kept in the platform, one object per data centre.
+//! Contacts stored in the platform, one object per data centre.
+//!
+//! A contact is the control address of a daemon, through which daemons of other data centres join.
 
 use std::net::SocketAddr;
 
@@ -6,7 +8,7 @@
 use sk_spread::{ContactBook, ContactMap, SourceError};
 use sk_store::{SharedStore, StoreError, StoredObject};
 
-/// The contact book in the platform.
+/// The contact book, stored in the platform.
 pub(crate) struct StoreContacts {
     store: SharedStore,
     prefix: String,
@@ -21,7 +23,8 @@
 #[async_trait]
 impl ContactBook for StoreContacts {
     async fn read(&self) -> Result<ContactMap, SourceError> {
-        let objects = self.store.list(&self.prefix).await.map_err(|err| store_error(&err))?;
+        let objects =
+            self.store.list(&self.prefix).await.map_err(|err| store_to_source_error(&err))?;
         let entry = |object: &StoredObject| {
             let data_centre = object.key.strip_prefix(&self.prefix)?.to_owned();
             Some((data_centre, parse_addresses(object)?))
@@ -38,25 +41,25 @@
         let key = format!("{}{data_centre}", self.prefix);
         let value = serde_json::to_string(addresses)
             .map_err(|err| SourceError { reason: err.to_string() })?;
-        let object = self.store.get(&key).await.map_err(|err| store_error(&err))?;
+        let object = self.store.get(&key).await.map_err(|err| store_to_source_error(&err))?;
         let found = object.as_ref().and_then(parse_addresses);
         let written = match object {
-            // Overwriting what another relay wrote meanwhile would hide it from this one.
+            // Another relay wrote in the meantime; overwriting would hide its addresses.
             Some(_) if found.is_some() && found.as_deref() != seen => {
                 return Err(SourceError { reason: format!("object {key} has changed") });
             }
             Some(object) => self.store.replace(&key, object.revision, value).await,
             None => self.store.create(&key, value).await,
         };
-        written.map(drop).map_err(|err| store_error(&err))
+        written.map(drop).map_err(|err| store_to_source_error(&err))
     }
 }
 
-/// Gives the addresses, none where the object is malformed: it is then simply written anew.
+/// Returns the addresses, `None` where the object is malformed and is to be overwritten.
 fn parse_addresses(object: &StoredObject) -> Option<Vec<SocketAddr>> {
     serde_json::from_str(&object.value).ok()
 }
 
-fn store_error(err: &StoreError) -> SourceError {
+fn store_to_source_error(err: &StoreError) -> SourceError {
     SourceError { reason: err.to_string() }
 }
--- a/components/daemon/src/daemon.rs
+++ b/components/daemon/src/daemon.rs
@@ -1,4 +1,7 @@
-//! Starting and stopping one daemon.
+//! Starts and stops one daemon.
+//!
+//! A stop is announced before anything is refused, and requests in flight finish within a bound, so
+//! that callers lose no request.
 
 use std::{
     net::SocketAddr,
@@ -29,59 +32,62 @@
 use tokio::{net::TcpListener, task::JoinHandle, time::Instant};
 
 use crate::{
-    border::PlatformBorder,
-    claims::BookGate,
+    claims::ClaimBookGate,
     contacts::StoreContacts,
     error::DaemonError,
-    greet::greet_server,
+    identify::identify_server,
     metrics::send_metrics,
     notices::QuarantineNotices,
     options::{
         claim_settings, fleet_secret, own_service, quarantine_settings, server_limits, table_place,
     },
+    platform::PlatformAdapter,
     port::DaemonPort,
-    reach::{ReachClock, watch_reach},
+    reachability::{UnreachableTimes, watch_reachability},
     scrape::{ScrapeParts, serve_metrics},
-    source::BookSink,
+    source::ReportAckSink,
     tasks,
 };
 
-/// Where a daemon listens.
+/// Addresses that a daemon listens on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DaemonAddresses {
-    /// Callers.
+    /// Listener for callers' requests.
     pub proxy: SocketAddr,
-    /// Other daemons, for the local backend server.
+    /// Listener for requests from other daemons to the local backend server.
     pub guard: SocketAddr,
-    /// Control traffic.
+    /// Listener for control traffic.
     pub control: SocketAddr,
-    /// Operators and the local backend server's announcements.
+    /// Listener for operators and the local backend server's announcements.
     pub ops: SocketAddr,
 }
 
-/// Time for calls to the operators' interface to end at a stop.
-const OPS_STOP: Duration = Duration::from_millis(100);
+/// Longest wait for calls to the operators' interface to end at a stop. A caller that keeps its
+/// connection open must not delay the exit.
+const OPS_STOP_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Time for the news that the local backend server cannot be reached here any longer: to reach all
-/// daemons, and for work of a few hundred milliseconds that is on its way to end.
-const GUARD_NOTICE: Duration = Duration::from_millis(900);
-/// Time at the end of the drain to close callers' connections in order. By then their requests are
-/// answered, but the local server's work, which may call on through them, may last to the end.
-const CLOSE_TIME: Duration = Duration::from_millis(200);
-/// Time without work after which peers that still hold a connection are taken as gone. Above the time
-/// that word of a living one takes over a full link: the last bytes of an answer wait here until its
-/// receiver says that it takes more.
-const IDLE_TIME: Duration = Duration::from_millis(1_500);
-/// Time between looks whether there is work.
-const IDLE_LOOK: Duration = Duration::from_millis(50);
+/// Time between the announcement that the local backend server is no longer reachable through this
+/// daemon and the stop of its guard. It suffices for the announcement to reach all daemons, and for
+/// requests of a few hundred milliseconds that are already on their way to end.
+const GUARD_LEAVE_NOTICE: Duration = Duration::from_millis(900);
+/// Time reserved at the end of the drain to close callers' connections cleanly. Their requests are
+/// answered by then, but the local backend server may use such connections for calls of its own
+/// until its work ends.
+const CLOSE_MARGIN: Duration = Duration::from_millis(200);
+/// Time without work after which peers that keep a connection open count as gone. It exceeds the
+/// time that a message of a running peer takes over a full link: the last bytes of an answer wait
+/// here until the receiver signals that it accepts more.
+const SERVER_IDLE_TIME: Duration = Duration::from_millis(1_500);
+/// Interval between checks whether there is work.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long a stop takes.
+/// Bounds on the phases of a stop.
 #[derive(Clone, Copy, Debug)]
 struct StopTimes {
-    /// For the news that this daemon leaves, before it refuses new requests: to reach the others,
-    /// and for callers to be told with an answer that the next goes elsewhere.
+    /// Time before new requests are refused. Meanwhile other daemons learn that this one leaves,
+    /// and answers ask callers to send the next request elsewhere.
     leave: Duration,
-    /// For requests in flight, after that.
+    /// Time for requests in flight after that.
     drain: Duration,
 }
 
@@ -91,7 +97,7 @@
     times: StopTimes,
     is_leaving: Arc<AtomicBool>,
     own_service: OwnService,
-    border: Arc<PlatformBorder>,
+    platform: Arc<PlatformAdapter>,
     members: Arc<MemberBoard>,
     forward: ServeHandle,
     guard: ServeHandle,
@@ -101,7 +107,7 @@
     tasks: Vec<JoinHandle<()>>,
 }
 
-/// Listeners bound before anything runs, so that a clash stops the daemon at once.
+/// Listeners that are bound before anything runs, so that an address in use stops the start.
 struct BoundListeners {
     proxy: TcpListener,
     guard: TcpListener,
@@ -109,9 +115,9 @@
     metrics: Option<TcpListener>,
 }
 
-/// Parts that are shared within one daemon.
+/// Parts that the components of one daemon share.
 struct DaemonParts {
-    border: Arc<PlatformBorder>,
+    platform: Arc<PlatformAdapter>,
     store: SharedStore,
     heartbeats: Arc<Mutex<HeartbeatBook>>,
     is_leaving: Arc<AtomicBool>,
@@ -121,12 +127,12 @@
     members: Arc<MemberBoard>,
     servers: Arc<LocalServers>,
     table: SharedTable,
-    book: Arc<ReportBook>,
+    report_book: Arc<ReportBook>,
     meter: Arc<ControlMeter>,
     claims: Arc<ClaimBook>,
     quarantine: Arc<QuarantineBoard>,
     counters: Arc<ProxyCounters>,
-    reach: Arc<ReachClock>,
+    unreachable: Arc<UnreachableTimes>,
     spread: Arc<OnceLock<StateReader>>,
 }
 
@@ -152,7 +158,7 @@
         ops.push(start_ops(ready, port.clone())?);
     }
     let spread = run_spread(settings, &parts, listeners.control)?;
-    // Set once in a daemon's life; the dump shows nothing of the control thread before.
+    // This is the only write; before it, the state dump has default values for the control thread.
     let _ = parts.spread.set(spread.reader());
     let guard_context = Arc::new(guard_context(settings, &parts));
     let forward_context = forward_context(settings, &parts, guard_context.clone());
@@ -175,26 +181,26 @@
             table_place(settings),
         )),
         tokio::spawn(tasks::expire_servers(parts.servers.clone(), parts.members.clone(), ttl)),
-        tokio::spawn(watch_reach(parts.reach.clone(), parts.members.clone())),
-        tokio::spawn(tasks::flush_reports(parts.book.clone(), parts.store.clone(), flush)),
+        tokio::spawn(watch_reachability(parts.unreachable.clone(), parts.members.clone())),
+        tokio::spawn(tasks::flush_reports(parts.report_book.clone(), parts.store.clone(), flush)),
         tokio::spawn(send_metrics(settings.metrics.address, port, parts.counters.clone())),
     ];
     tasks.extend(scrape);
     if let Some((service, address)) =
-        own_service(&parts.border, settings).zip(settings.instance.server)
+        own_service(&parts.platform, settings).zip(settings.instance.server)
     {
-        tasks.push(tokio::spawn(greet_server(own_port, service, address)));
+        tasks.push(tokio::spawn(identify_server(own_port, service, address)));
     }
     log::info!("daemon: {} runs at {}.", settings.instance.name, addresses.proxy);
     if !settings.experiment.off.is_empty() {
-        log::warn!("daemon: an experiment leaves out {:?}.", settings.experiment.off);
+        log::warn!("daemon: an experiment disables {:?}.", settings.experiment.off);
     }
     Ok(DaemonHandle {
         addresses,
         times,
         is_leaving: parts.is_leaving,
         own_service: parts.own_service,
-        border: parts.border,
+        platform: parts.platform,
         members: parts.members,
         forward,
         guard,
@@ -206,79 +212,80 @@
 }
 
 impl DaemonHandle {
-    /// Gives the addresses it listens at.
+    /// Returns the addresses that the daemon listens on.
     pub fn addresses(&self) -> DaemonAddresses {
         self.addresses
     }
 
-    /// Waits until a part that the daemon cannot do without has ended by itself.
+    /// Waits until the control thread, without which the daemon cannot run, has ended by itself.
     pub async fn failed(&self) {
         let mut ended = self.spread.ended();
         while ended.changed().await.is_ok() {}
-        log::error!("daemon: the control thread ended.");
+        log::error!("daemon: the control thread ended unexpectedly.");
     }
 
-    /// Takes settings that were changed while the daemon runs. Only the service beside it can change
-    /// so; anything else takes effect at the next start.
+    /// Applies settings that were changed while the daemon runs. Only `instance.service` takes
+    /// effect; all others need a restart.
     pub fn reload(&self, settings: &DaemonSettings) {
-        let service = own_service(&self.border, settings);
+        let service = own_service(&self.platform, settings);
         log::info!("daemon: settings read again, service {service:?}.");
         self.own_service.store(service.map(Arc::new));
     }
 
-    /// Stops gracefully: tells the others, accepts no more, finishes requests in flight within
-    /// the set bound, and tells whether all of them ended.
+    /// Stops gracefully: informs other daemons, refuses new requests and finishes those in flight
+    /// within the set bound. Returns whether all of them ended.
     ///
-    /// The guard ends first: the local server's work in flight may still call other services,
-    /// which goes by this daemon's own listener for callers.
+    /// The guard stops first: work in flight at the local backend server may still call other
+    /// services, which goes through this daemon's own listener for callers.
     pub async fn stop(mut self) -> bool {
-        log::info!("daemon: leaving.");
+        log::info!("daemon: stopping.");
         self.is_leaving.store(true, Ordering::Release);
         let end = Instant::now() + self.times.leave + self.times.drain;
         self.guard_context.drain.end_at(end, self.times.drain);
         self.forward.leave();
-        // The server beside this daemon runs on. Until callers are gone the others go on using it:
-        // with a third of a fleet on its way out, the servers' loss is what callers would notice.
-        let notice = self.times.leave.min(GUARD_NOTICE);
+        // The local backend server keeps running, and other daemons use it until callers have left:
+        // while a third of a fleet stops, callers would notice the loss of its servers.
+        let notice = self.times.leave.min(GUARD_LEAVE_NOTICE);
         tokio::time::sleep(self.times.leave - notice).await;
         self.members.update(|table| table.set_status(MemberStatus::Leaving), |changed| *changed);
         self.guard.leave();
         tokio::time::sleep(notice).await;
         self.forward.refuse_new();
-        // What still waits for the server after half of the drain would not be done by its end.
+        // A request that still waits for the server after half of the drain would not finish by its
+        // end.
         let (servers, half) = (self.guard_context.servers.clone(), self.times.drain / 2);
         self.tasks.push(tokio::spawn(async move {
             tokio::time::sleep(half).await;
             servers.refuse_waiting();
         }));
         let servers = &self.guard_context.servers;
-        // A peer that is gone without a word never closes its connection.
-        let guard = tokio::select! {
-            is_clean = self.guard.stop(self.times.drain.saturating_sub(CLOSE_TIME)) => is_clean,
-            () = await_idle(servers) => true,
+        // A peer that disappeared without notice never closes its connection.
+        let is_guard_clean = tokio::select! {
+            is_clean = self.guard.stop(self.times.drain.saturating_sub(CLOSE_MARGIN)) => is_clean,
+            () = wait_until_idle(servers) => true,
         };
-        let left = end.saturating_duration_since(Instant::now());
-        let forward = self.forward.stop(left).await;
-        // A caller that keeps its connection open must not keep the process alive.
+        let remaining = end.saturating_duration_since(Instant::now());
+        let is_forward_clean = self.forward.stop(remaining).await;
+        // A caller that keeps its connection open must not keep the process running.
         let ops = join_all(self.ops.into_iter().map(OpsHandle::stop));
-        if tokio::time::timeout(OPS_STOP, ops).await.is_err() {
-            log::info!("ops: connections were open at the end.");
+        if tokio::time::timeout(OPS_STOP_TIMEOUT, ops).await.is_err() {
+            log::info!("ops: connections were still open at the stop.");
         }
         self.tasks.iter().for_each(JoinHandle::abort);
-        // The control thread is joined, which must not block a worker of this runtime.
+        // Joining the control thread would block a worker of this runtime.
         let stop = tokio::task::spawn_blocking(move || self.spread.stop());
         if stop.await.is_err() {
             log::error!("daemon: the control thread did not stop.");
         }
-        forward && guard
+        is_forward_clean && is_guard_clean
     }
 }
 
-/// Waits until the backend servers here have had no work for some time.
-async fn await_idle(servers: &LocalServers) {
+/// Waits until the local backend servers have been without work for [`SERVER_IDLE_TIME`].
+async fn wait_until_idle(servers: &LocalServers) {
     let mut idle_since = Instant::now();
-    while idle_since.elapsed() < IDLE_TIME {
-        tokio::time::sleep(IDLE_LOOK).await;
+    while idle_since.elapsed() < SERVER_IDLE_TIME {
+        tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
         if !servers.is_idle() {
             idle_since = Instant::now();
         }
@@ -312,8 +319,8 @@
 }
 
 fn make_parts(settings: &DaemonSettings, addresses: DaemonAddresses) -> DaemonParts {
-    let border = Arc::new(PlatformBorder::new(&settings.platform));
-    let store = border.store.clone();
+    let platform = Arc::new(PlatformAdapter::new(&settings.platform));
+    let store = platform.store.clone();
     let key_prefix = settings.platform.key_prefix.clone();
     let ledger_settings =
         LedgerSettings { key_prefix: key_prefix.clone(), ..LedgerSettings::default() };
@@ -321,19 +328,19 @@
         ledger: Arc::new(Ledger::new(store.clone(), ledger_settings)),
         claims: Arc::new(ClaimBook::new(store.clone(), claim_settings(&key_prefix))),
         store,
-        own_service: Arc::new(ArcSwapOption::from(own_service(&border, settings).map(Arc::new))),
+        own_service: Arc::new(ArcSwapOption::from(own_service(&platform, settings).map(Arc::new))),
         heartbeats: Arc::default(),
         is_leaving: Arc::default(),
-        border,
+        platform,
         held: Arc::default(),
         members: Arc::new(MemberBoard::new(own_record(settings, addresses))),
         servers: Arc::new(LocalServers::new(server_limits(settings))),
         table: SharedTable::default(),
-        book: Arc::new(ReportBook::new(&key_prefix)),
+        report_book: Arc::new(ReportBook::new(&key_prefix)),
         meter: Arc::default(),
         quarantine: Arc::new(QuarantineBoard::new(quarantine_settings(settings))),
         counters: Arc::default(),
-        reach: Arc::default(),
+        unreachable: Arc::default(),
         spread: Arc::default(),
     }
 }
@@ -366,14 +373,14 @@
         members: parts.members.clone(),
         servers: parts.servers.clone(),
         meter: parts.meter.clone(),
-        reach: parts.reach.clone(),
+        unreachable: parts.unreachable.clone(),
         quarantine: parts.quarantine.clone(),
         counters: parts.counters.clone(),
         table: parts.table.clone(),
-        book: parts.book.clone(),
+        report_book: parts.report_book.clone(),
         spread: parts.spread.clone(),
         proxy_address: addresses.proxy,
-        border: parts.border.clone(),
+        platform: parts.platform.clone(),
         heartbeats: parts.heartbeats.clone(),
         is_leaving: parts.is_leaving.clone(),
     }
@@ -403,9 +410,9 @@
     let spread_parts = SpreadParts {
         held: parts.held.clone(),
         members: parts.members.clone(),
-        source: parts.border.source(&parts.ledger),
+        source: parts.platform.source(&parts.ledger),
         contacts: Some(Arc::new(contacts)),
-        acks: Arc::new(BookSink { book: parts.book.clone() }),
+        acks: Arc::new(ReportAckSink { report_book: parts.report_book.clone() }),
         notices: Some(Arc::new(QuarantineNotices { board: parts.quarantine.clone() })),
         meter: parts.meter.clone(),
     };
@@ -423,7 +430,7 @@
         guard,
         counters: parts.counters.clone(),
         max_body_bytes: settings.guard.max_body_bytes,
-        words: parts.border.words.clone(),
+        words: parts.platform.words.clone(),
         own_service: parts.own_service.clone(),
     }
 }
@@ -433,9 +440,9 @@
         servers: parts.servers.clone(),
         token: GuardToken::new(&fleet_secret(settings)),
         quarantine: parts.quarantine.clone(),
-        claims: Some(Arc::new(BookGate { book: parts.claims.clone() })),
+        claims: Some(Arc::new(ClaimBookGate { claim_book: parts.claims.clone() })),
         counters: parts.counters.clone(),
-        words: parts.border.words.clone(),
+        words: parts.platform.words.clone(),
         failed_calls: FailedCalls::default(),
         trips: Default::default(),
         drain: Arc::default(),
--- a/components/daemon/src/dump.rs
+++ b/components/daemon/src/dump.rs
@@ -1,4 +1,4 @@
-//! The state dump: what each part says of itself, without asking the platform.
+//! The state dump: the state of each part of the daemon, without a call to the platform.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -12,7 +12,7 @@
 use crate::port::DaemonPort;
 
 impl DaemonPort {
-    /// Gathers the state of this daemon.
+    /// Collects the state of this daemon.
     pub(crate) fn dump(&self) -> StateDump {
         let own = self.members.own();
         let status = self.held.status();
@@ -34,7 +34,7 @@
             suspects: self.quarantine.len() as u64,
             quarantined: count_quarantined(&self.quarantine),
             proxy_address: self.proxy_address,
-            control: view_control(spread, self.book.pending_centres()),
+            control: view_control(spread, self.report_book.pending_centres()),
             requests: view_requests(&self.counters, &self.table.load()),
             servers: servers.iter().map(|endpoint| view_server(endpoint, &guards)).collect(),
             members: view.values().map(|record| view_peer(record, &marks)).collect(),
@@ -42,6 +42,7 @@
     }
 }
 
+/// Counts the requests that are refused now because they crash servers.
 fn count_quarantined(board: &QuarantineBoard) -> u64 {
     let hold = QuarantineSettings::default().hold;
     let since = Duration::from_millis(sk_model::unix_now()).saturating_sub(hold);
@@ -67,7 +68,8 @@
 
 fn view_requests(counters: &ProxyCounters, table: &RouteTable) -> RequestView {
     let view = counters.view();
-    let left = table.services().map(|service| (service.name.to_string(), service.retries_left()));
+    let retries_left =
+        table.services().map(|service| (service.name.to_string(), service.retries_left()));
     RequestView {
         in_flight: view.in_flight,
         ran: view.ran,
@@ -75,7 +77,7 @@
         unknown: view.unknown,
         refused: view.refused,
         retries: view.retries,
-        retries_left: left.collect(),
+        retries_left: retries_left.collect(),
     }
 }
 
--- a/components/daemon/src/error.rs
+++ b/components/daemon/src/error.rs
@@ -1,4 +1,4 @@
-//! Failures of starting a daemon.
+//! Errors of starting a daemon.
 
 use std::net::SocketAddr;
 
@@ -9,13 +9,13 @@
 #[derive(Debug, Error)]
 pub enum DaemonError {
     /// An address cannot be bound.
-    #[error("cannot listen at `{key}` {address}: {source}")]
+    #[error("cannot listen on `{key}` {address}: {source}")]
     Bind {
-        /// Key in the settings.
+        /// Dotted key in the settings.
         key: &'static str,
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// The system's error.
         source: std::io::Error,
     },
     /// The operators' interface did not start.
--- /dev/null
+++ b/components/daemon/src/identify.rs
@@ -0,0 +1,81 @@
+//! Asks the backend server beside a daemon that has just started for its identity.
+//!
+//! When a daemon is killed, its server keeps running and sends heartbeats at its own interval.
+//! Until the next one, up to a second and a half later, the new daemon knows no server: no request
+//! gets there, and where all daemons were killed together, all of them refuse callers. Asking the
+//! server closes this gap.
+
+use std::{net::SocketAddr, sync::Arc, time::Duration};
+
+use sk_member::{EndpointStatus, ServerHeartbeat};
+use sk_model::{ServiceName, SettingBody};
+use sk_proxy::{ServerIdentity, ask_identity};
+use tokio::time::Instant;
+
+use crate::port::DaemonPort;
+
+/// Time for which a server is asked. After it, its own heartbeat has arrived or it is not running.
+const IDENTIFY_TIME: Duration = Duration::from_secs(2);
+/// Pause between two attempts. The server may be starting too, or have no free slot.
+const IDENTIFY_PAUSE: Duration = Duration::from_millis(50);
+
+/// Asks the server at `address` for its identity until the daemon knows a local server, for up to
+/// [`IDENTIFY_TIME`].
+pub(crate) async fn identify_server(
+    port: Arc<DaemonPort>,
+    service: ServiceName,
+    address: SocketAddr,
+) {
+    let end = Instant::now() + IDENTIFY_TIME;
+    while Instant::now() < end && port.servers.endpoints().is_empty() {
+        if let Some(path) = health_path(&port, &service) {
+            match ask_identity(&*port.platform.words, address, &path).await {
+                Ok(Some(identity)) => {
+                    return add_identified_server(&port, service, address, identity);
+                }
+                Ok(None) => {
+                    log::debug!("daemon: the server at {address} does not identify itself.")
+                }
+                Err(err) => log::debug!(
+                    "daemon: cannot ask the server at {address} for its identity: {err}."
+                ),
+            }
+        }
+        tokio::time::sleep(IDENTIFY_PAUSE).await;
+    }
+}
+
+/// Returns the health check path of a service, `None` before the first configuration or where the
+/// service has no path.
+fn health_path(port: &DaemonPort, service: &ServiceName) -> Option<String> {
+    let snapshot = port.held.current();
+    let setting = snapshot.settings().find(|(path, _)| *path == service)?.1;
+    match setting {
+        SettingBody::Service(setting) => setting.health_path.clone(),
+        _ => None,
+    }
+}
+
+/// Adds a server that identified itself, unless its own heartbeat arrived meanwhile, which is more
+/// complete.
+fn add_identified_server(
+    port: &DaemonPort,
+    service: ServiceName,
+    address: SocketAddr,
+    identity: ServerIdentity,
+) {
+    if !port.servers.endpoints().is_empty() {
+        return;
+    }
+    log::info!("daemon: the local backend server identified itself as {}.", identity.name);
+    port.apply_heartbeat(ServerHeartbeat {
+        name: identity.name,
+        born: 0,
+        sequence: 0,
+        service,
+        address,
+        slots: identity.slots,
+        status: EndpointStatus::Ready,
+        warm_up: Duration::ZERO,
+    });
+}
--- a/components/daemon/src/lib.rs
+++ b/components/daemon/src/lib.rs
@@ -1,21 +1,21 @@
-//! Wires the parts of one daemon together.
+//! Connects the parts of one daemon and runs them.
 
-mod border;
 mod claims;
 mod contacts;
 mod daemon;
 mod dump;
 mod error;
-mod greet;
+mod identify;
 mod metrics;
 mod notices;
 mod options;
+mod platform;
 mod port;
-mod reach;
-mod records;
+mod reachability;
 mod scrape;
 mod source;
 mod tasks;
+mod team_records;
 
 pub use daemon::{DaemonAddresses, DaemonHandle, start_daemon};
 pub use error::DaemonError;
--- a/components/daemon/src/metrics.rs
+++ b/components/daemon/src/metrics.rs
@@ -1,6 +1,6 @@
-//! Metrics as statsd datagrams, where the settings name a receiver.
+//! Metrics sent as statsd datagrams, where the settings name a receiver.
 //!
-//! Every name begins with `sapphirekeel.` and bears the tags `proxy` and `data_centre`.
+//! Every name begins with `sapphirekeel.` and has the tags `proxy` and `data_centre`.
 //!
 //! | Name | Kind | Meaning |
 //! |---|---|---|
@@ -12,14 +12,14 @@
 //! | `members.<status>` | gauge | daemons by status, this one included |
 //! | `servers.ready`, `servers.draining` | gauge | backend servers beside this daemon |
 //! | `quarantine.suspects` | gauge | requests suspected of crashing servers |
-//! | `quarantine.refused` | gauge | of these, requests that are refused for it |
+//! | `quarantine.refused` | gauge | of these, requests that are refused because of it |
 //! | `requests.in_flight` | gauge | callers' requests in this daemon |
 //! | `requests.ran` | counter | requests that a server answered |
 //! | `requests.not_run` | counter | requests that did not run |
-//! | `requests.unknown` | counter | requests of which it is not known whether they ran |
-//! | `requests.refused.<reason>` | counter | answers of the daemon's own, by reason |
+//! | `requests.unknown` | counter | requests of which it is unknown whether they ran |
+//! | `requests.refused.<reason>` | counter | answers that the daemon gave itself, by reason |
 //! | `requests.retries` | counter | attempts after the first |
-//! | `requests.retries_denied` | counter | failed attempts that were not tried again |
+//! | `requests.retries_denied` | counter | failed attempts that were not retried |
 //! | `requests.cut_answers` | counter | answers that ended in an error after their head |
 
 use std::{
@@ -36,19 +36,20 @@
 use sk_proxy::{CounterView, ProxyCounters};
 use tokio::time::MissedTickBehavior;
 
-/// Time between sends. Some thirty lines each: short enough to see an outage while it lasts, and
-/// few bytes beside the 20 KB/s that a daemon may spend on control.
+/// Interval between sends of some thirty lines each. It is short enough to show an outage while it
+/// lasts, and costs few bytes compared with the 20 KB/s that a daemon may use for control traffic.
 const SEND_INTERVAL: Duration = Duration::from_secs(10);
-/// Bytes gathered into a datagram, which is all that ever waits here. Fits one frame of an
-/// Ethernet, so that no datagram is split on its way.
+/// Largest datagram, in bytes, which is also the largest amount of data that waits to be sent. It
+/// fits one Ethernet frame, so that datagrams are not fragmented.
 const MAX_DATAGRAM_BYTES: usize = 1_400;
-const PREFIX: &str = "sapphirekeel";
+/// Prefix of the names of all metrics.
+const METRIC_PREFIX: &str = "sapphirekeel";
 
 const MEMBER_STATUSES: [MemberStatus; 4] =
     [MemberStatus::Alive, MemberStatus::Suspect, MemberStatus::Leaving, MemberStatus::Gone];
 const SERVER_STATUSES: [EndpointStatus; 2] = [EndpointStatus::Ready, EndpointStatus::Draining];
 
-/// Sends metrics until the daemon stops; without an address it ends at once.
+/// Sends metrics until the daemon stops. Without an address it returns at once.
 pub(crate) async fn send_metrics(
     address: Option<SocketAddr>,
     port: Arc<dyn OperatorPort>,
@@ -58,36 +59,37 @@
     let client = match make_client(address, &port.state()) {
         Ok(client) => client,
         Err(err) => {
-            log::warn!("metrics: none are sent: {err}.");
+            log::warn!("metrics: cannot send statsd datagrams: {err}.");
             return;
         }
     };
     let mut ticks = tokio::time::interval(SEND_INTERVAL);
-    // A daemon that was paused must not send what it missed all at once.
+    // After a pause of the process, the missed sends must not follow in a burst.
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut totals = SentTotals::default();
     loop {
         ticks.tick().await;
         let sent = send_all(&client, &mut totals, &port.state(), &counters.view());
-        // Metrics are a help and no duty: a receiver that is away costs the lines and no more.
+        // An unavailable receiver costs the metrics of this interval only.
         if let Err(err) = sent.and_then(|()| client.flush()) {
             log::debug!("metrics: not sent: {err}.");
         }
     }
 }
 
-/// Makes a client that never waits: what the socket does not take at once is dropped. The sink runs
-/// in the caller, so there is no queue that a receiver which is away could fill.
+/// Creates a client that never blocks: what the socket does not accept at once is dropped. It sends
+/// in the calling task, so there is no queue that an unavailable receiver could fill.
 fn make_client(address: SocketAddr, state: &StateDump) -> Result<StatsdClient, MetricError> {
     let socket = bind_any(address)?;
     let sink = BufferedUdpMetricSink::with_capacity(address, socket, MAX_DATAGRAM_BYTES)?;
-    let builder = StatsdClient::builder(PREFIX, sink);
+    let builder = StatsdClient::builder(METRIC_PREFIX, sink);
     Ok(builder
         .with_tag("proxy", state.proxy.clone())
         .with_tag("data_centre", state.data_centre.clone())
         .build())
 }
 
+/// Binds a non-blocking socket on any address of the receiver's IP version.
 fn bind_any(receiver: SocketAddr) -> io::Result<UdpSocket> {
     let any: SocketAddr = match receiver {
         SocketAddr::V4(_) => (Ipv4Addr::UNSPECIFIED, 0).into(),
@@ -108,8 +110,8 @@
         client.gauge(&name, value)?;
     }
     for (name, total) in list_counters(state, counts) {
-        let grown = totals.advance(&name, total);
-        client.count(&name, i64::try_from(grown).unwrap_or(i64::MAX))?;
+        let increment = totals.take_increment(&name, total);
+        client.count(&name, i64::try_from(increment).unwrap_or(i64::MAX))?;
     }
     Ok(())
 }
@@ -125,7 +127,7 @@
     ];
     let age_ms = state.control.source_age_ms;
     gauges.extend(age_ms.map(|age_ms| ("config.source_age_ms".to_owned(), age_ms)));
-    // Every status each time, so that one that nobody has any more falls back to zero.
+    // Every status is sent each time, so that one that no daemon has any more returns to 0.
     for status in MEMBER_STATUSES.map(|status| status.to_string()) {
         let count = state.members.values().filter(|member| member.status == status).count();
         gauges.push((format!("members.{status}"), count as u64));
@@ -153,15 +155,16 @@
     counters
 }
 
-/// Totals of the counters as last sent; statsd takes what they grew by.
+/// Totals of the counters at the last send. statsd expects increments, not totals.
 #[derive(Default)]
 struct SentTotals {
     by_name: BTreeMap<String, u64>,
 }
 
 impl SentTotals {
-    fn advance(&mut self, name: &str, total: u64) -> u64 {
-        let last = self.by_name.insert(name.to_owned(), total).unwrap_or(0);
-        total.saturating_sub(last)
+    /// Stores the total of a counter and returns its increment since the last send.
+    fn take_increment(&mut self, name: &str, total: u64) -> u64 {
+        let last_total = self.by_name.insert(name.to_owned(), total).unwrap_or(0);
+        total.saturating_sub(last_total)
     }
 }
--- a/components/daemon/src/notices.rs
+++ b/components/daemon/src/notices.rs
@@ -1,4 +1,7 @@
-//! Requests that crash servers, passed between daemons.
+//! Exchanges evidence about requests that crash servers with other daemons.
+//!
+//! Without it, a request that crashes servers would have to crash one at each daemon before that
+//! daemon recognises it.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,14 +10,16 @@
 use sk_proxy::QuarantineBoard;
 use sk_spread::NoticeBoard;
 
-/// Records taken from one message at most. A board holds fewer; more is a fault of the sender.
-const MAX_RECORDS: usize = 4_096;
+/// Largest number of records accepted from one message. A board holds fewer, so more are an error
+/// of the sender.
+const MAX_MESSAGE_RECORDS: usize = 4_096;
 
-/// The quarantine board behind the spread's border.
+/// Gives the control thread access to the quarantine board.
 pub(crate) struct QuarantineNotices {
     pub(crate) board: Arc<QuarantineBoard>,
 }
 
+/// A suspected request as it is sent between daemons, in JSON.
 #[derive(Serialize, Deserialize)]
 struct SuspectWire {
     fingerprint: u64,
@@ -57,21 +62,21 @@
             Ok(records) => records,
             Err(_) => return false,
         };
-        if records.len() > MAX_RECORDS {
+        if records.len() > MAX_MESSAGE_RECORDS {
             return false;
         }
-        let records: Vec<SuspectRecord> = records.into_iter().map(read_suspect).collect();
+        let records: Vec<SuspectRecord> = records.into_iter().map(from_wire).collect();
         self.board.merge(&records);
         true
     }
 }
 
 fn encode(records: &[SuspectRecord]) -> Option<Vec<u8>> {
-    let wire: Vec<SuspectWire> = records.iter().map(write_suspect).collect();
+    let wire: Vec<SuspectWire> = records.iter().map(to_wire).collect();
     serde_json::to_vec(&wire).ok().filter(|_| !wire.is_empty())
 }
 
-fn write_suspect(record: &SuspectRecord) -> SuspectWire {
+fn to_wire(record: &SuspectRecord) -> SuspectWire {
     let crash = |evidence: &CrashEvidence| CrashWire {
         at_ms: evidence.at.as_millis() as u64,
         occasion: evidence.occasion,
@@ -88,7 +93,7 @@
     }
 }
 
-fn read_suspect(wire: SuspectWire) -> SuspectRecord {
+fn from_wire(wire: SuspectWire) -> SuspectRecord {
     let crash = |crash: &CrashWire| CrashEvidence {
         at: Duration::from_millis(crash.at_ms),
         occasion: crash.occasion,
--- a/components/daemon/src/options.rs
+++ b/components/daemon/src/options.rs
@@ -1,4 +1,4 @@
-//! Settings of the daemon's parts, made from those that operators write.
+//! Converts the settings that operators write into those of the daemon's parts.
 
 use std::time::Duration;
 
@@ -14,13 +14,14 @@
 use sk_proxy::{ServerLimits, TablePlace, TableTuning};
 use sk_settings::{DaemonSettings, Mechanism, PlacingOrder};
 
-use crate::border::PlatformBorder;
+use crate::platform::PlatformAdapter;
 
+/// Returns the service of the local backend server, `None` where the settings name none.
 pub(crate) fn own_service(
-    border: &PlatformBorder,
+    platform: &PlatformAdapter,
     settings: &DaemonSettings,
 ) -> Option<ServiceName> {
-    settings.instance.service.as_deref().map(|service| border.service_path(service))
+    settings.instance.service.as_deref().map(|service| platform.service_path(service))
 }
 
 pub(crate) fn quarantine_settings(settings: &DaemonSettings) -> QuarantineSettings {
@@ -32,13 +33,14 @@
     ClaimSettings { key_prefix: key_prefix.to_owned(), ..ClaimSettings::default() }
 }
 
-/// Gives what daemons prove to each other. It holds the key prefix too: of two fleets that were
-/// given one secret by mistake, a daemon that took over an address of the other one's would else be
-/// let in there, with another history under the same versions.
+/// Returns the secret that daemons prove to each other. It includes the key prefix: if two fleets
+/// were given the same secret by mistake, a daemon that gets an address of the other fleet would
+/// otherwise be admitted there, with a different history under the same versions.
 pub(crate) fn fleet_secret(settings: &DaemonSettings) -> String {
     format!("{} {}", settings.platform.key_prefix, settings.peers.secret)
 }
 
+/// Returns the daemon's location and tuning for its route table.
 pub(crate) fn table_place(settings: &DaemonSettings) -> TablePlace {
     let instance = &settings.instance;
     TablePlace {
@@ -49,7 +51,7 @@
     }
 }
 
-/// Gives how a daemon with these settings places requests and tries them again.
+/// Returns how a daemon with these settings places and retries requests.
 pub fn table_tuning(settings: &DaemonSettings) -> TableTuning {
     let placing = &settings.placing;
     let defaults = PlacementSettings::default();
@@ -70,17 +72,18 @@
         floor: placing.retry_floor,
         is_shared: placing.retry_shared,
         free_moves: placing.free_moves,
-        again_after_failure: !is_off(settings, Mechanism::FailedAgain),
+        again_after_failure: !is_disabled(settings, Mechanism::FailedAgain),
         ..RetrySettings::default()
     };
     TableTuning { placement, retry }
 }
 
-/// Gives the part of its slots that a server which has just started does not use yet.
+/// Returns the fraction of its slots that a server which has just started does not use yet.
 ///
-/// Servers whose work takes a tenth of a second are slow at first by time and not by company: held
-/// back, their slots serve nobody, at the moment at which most callers wait. With none held back callers
-/// got 0.796 and with a half 0.790 of what they were owed, less prices, over ten days.
+/// A server whose work takes a tenth of a second is slow after its start regardless of how many
+/// requests it runs together. Its reserved slots would serve no request, at the time when most
+/// callers wait. Callers received 0.796 of the value due to them, less costs, over ten days with no
+/// slots reserved, and 0.790 with half of them reserved.
 fn cold_hold(order: PlacingOrder) -> f64 {
     match order {
         PlacingOrder::Draw => admitting::GuardSettings::default().cold_hold,
@@ -88,23 +91,24 @@
     }
 }
 
-fn is_off(settings: &DaemonSettings, mechanism: Mechanism) -> bool {
+/// Returns whether an experiment disables a mechanism.
+fn is_disabled(settings: &DaemonSettings, mechanism: Mechanism) -> bool {
     settings.experiment.off.contains(&mechanism)
 }
 
 fn placement_weights(settings: &DaemonSettings) -> PlacementWeights {
     PlacementWeights {
-        by_work: !is_off(settings, Mechanism::WorkKinds),
-        failures: !is_off(settings, Mechanism::Failures),
-        transit: !is_off(settings, Mechanism::Transit),
-        wait: !is_off(settings, Mechanism::WaitHints),
-        outliers: !is_off(settings, Mechanism::Outliers),
+        by_work: !is_disabled(settings, Mechanism::WorkKinds),
+        failures: !is_disabled(settings, Mechanism::Failures),
+        transit: !is_disabled(settings, Mechanism::Transit),
+        wait: !is_disabled(settings, Mechanism::WaitHints),
+        outliers: !is_disabled(settings, Mechanism::Outliers),
     }
 }
 
-/// Gives how a daemon with these settings admits requests to its backend server.
+/// Returns how a daemon with these settings admits requests to its local backend server.
 pub fn server_limits(settings: &DaemonSettings) -> ServerLimits {
-    // The settings' bound of 1024 fits.
+    // Settings allow at most 1024, which fits.
     let queue = settings.guard.queue as u32;
     ServerLimits {
         guard: admitting::GuardSettings {
@@ -120,8 +124,8 @@
                 Some(thousandths) => thousandths as f64 / 1000.0,
                 None => cold_hold(settings.placing.order),
             },
-            makes_room: !is_off(settings, Mechanism::MadeRoom),
-            bounds_by_link: !is_off(settings, Mechanism::LinkRoom),
+            makes_room: !is_disabled(settings, Mechanism::MadeRoom),
+            bounds_by_link: !is_disabled(settings, Mechanism::LinkRoom),
             ..admitting::GuardSettings::default()
         },
         pacer: PacerSettings { limit: settings.guard.connections, ..PacerSettings::default() },
--- a/components/daemon/src/border.rs
+++ b/components/daemon/src/platform.rs
@@ -1,4 +1,6 @@
-//! Which platform a daemon stands on: its store, its configuration and its words.
+//! The platform that a daemon runs on: its store, its configuration source and its headers.
+//!
+//! The rest of the daemon is the same on every platform; the settings select one here.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,19 +14,19 @@
 
 use crate::source::LedgerSource;
 
-/// The platform as the daemon's parts meet it.
-pub(crate) struct PlatformBorder {
+/// The platform as the daemon's parts use it.
+pub(crate) struct PlatformAdapter {
     form: PlatformForm,
-    /// Where what must last is kept.
+    /// Store of everything that must outlast the fleet's processes.
     pub(crate) store: SharedStore,
-    /// Headers of callers and backend servers.
+    /// Reads and writes the headers of callers and backend servers.
     pub(crate) words: Arc<dyn RequestWords>,
-    /// Versions by another writer than this fleet.
+    /// Configuration that is not written by this fleet, `None` on Sapphirekeel's own platform.
     external: Option<Arc<dyn ConfigSource>>,
 }
 
-impl PlatformBorder {
-    /// Makes the border that the settings name. Nothing is connected yet.
+impl PlatformAdapter {
+    /// Creates the platform that the settings select. Nothing is connected yet.
     pub(crate) fn new(settings: &PlatformSettings) -> Self {
         let timeout = Duration::from_millis(settings.timeout_ms);
         let address = settings.address.to_string();
@@ -47,12 +49,12 @@
         }
     }
 
-    /// Tells whether another writer than this fleet accepts configurations.
+    /// Returns whether the configuration is not written by this fleet.
     pub(crate) fn is_external(&self) -> bool {
         self.external.is_some()
     }
 
-    /// Gives where versions come from.
+    /// Returns the source of configuration versions.
     pub(crate) fn source(&self, ledger: &Arc<Ledger>) -> Arc<dyn ConfigSource> {
         match &self.external {
             Some(source) => source.clone(),
@@ -60,7 +62,7 @@
         }
     }
 
-    /// Gives the path of a service that the platform names.
+    /// Returns the path of the service setting for a service as the platform names it.
     pub(crate) fn service_path(&self, service: &str) -> ServiceName {
         match self.form {
             PlatformForm::Own => service.to_owned(),
--- a/components/daemon/src/port.rs
+++ b/components/daemon/src/port.rs
@@ -1,4 +1,4 @@
-//! What operators can ask of this daemon.
+//! Implements the calls of operators and of the local backend server on this daemon.
 
 use std::{
     collections::BTreeMap,
@@ -32,13 +32,13 @@
 use sk_store::SharedStore;
 
 use crate::{
-    border::PlatformBorder,
-    reach::ReachClock,
-    records::{read_team, store_error, write_team},
+    platform::PlatformAdapter,
+    reachability::UnreachableTimes,
     tasks::publish_endpoints,
+    team_records::{read_team, store_to_ops_error, write_team},
 };
 
-/// The parts that operators' calls reach.
+/// The parts of the daemon that these calls use.
 pub(crate) struct DaemonPort {
     pub(crate) manager_sha256: String,
     pub(crate) key_prefix: String,
@@ -48,18 +48,18 @@
     pub(crate) members: Arc<MemberBoard>,
     pub(crate) servers: Arc<LocalServers>,
     pub(crate) meter: Arc<ControlMeter>,
-    pub(crate) reach: Arc<ReachClock>,
+    pub(crate) unreachable: Arc<UnreachableTimes>,
     pub(crate) quarantine: Arc<QuarantineBoard>,
     pub(crate) counters: Arc<ProxyCounters>,
     pub(crate) table: SharedTable,
-    pub(crate) book: Arc<ReportBook>,
-    /// Set once the control thread runs.
+    pub(crate) report_book: Arc<ReportBook>,
+    /// Set as soon as the control thread runs.
     pub(crate) spread: Arc<OnceLock<StateReader>>,
     pub(crate) proxy_address: SocketAddr,
-    pub(crate) border: Arc<PlatformBorder>,
-    /// Which heartbeats of the local backend server are news.
+    pub(crate) platform: Arc<PlatformAdapter>,
+    /// Decides which heartbeats of local backend servers are newer than the last ones.
     pub(crate) heartbeats: Arc<Mutex<HeartbeatBook>>,
-    /// Whether this daemon was told to stop.
+    /// Whether this daemon is stopping.
     pub(crate) is_leaving: Arc<AtomicBool>,
 }
 
@@ -78,14 +78,14 @@
     }
 
     async fn submit(&self, request: ChangeRequest) -> Result<ChangeRecord, OpsError> {
-        if self.border.is_external() {
+        if self.platform.is_external() {
             let reason = "the platform's operator writes this fleet's configuration".to_owned();
             return Err(OpsError::Forbidden { reason });
         }
         let now = unix_now();
         let record = self.ledger.submit(&request, now).await;
         let record = record.map_err(|err| match err {
-            // The other team's change is none of this team's business.
+            // The other team's change must not be shown to this team.
             SubmitError::IdReused { record } if record.team != request.team => {
                 let reason = "`change_id` is in use; allowed: one not used before".to_owned();
                 OpsError::Malformed { reason }
@@ -102,19 +102,23 @@
     }
 
     async fn newest(&self) -> Result<HeldView, OpsError> {
-        let snapshot = self.accepted().await?;
+        let snapshot = self.load_accepted().await?;
         Ok(view_snapshot(&snapshot))
     }
 
-    async fn history(&self, from: Version, most: usize) -> Result<Vec<ChangeRecord>, OpsError> {
-        let records = self.ledger.history(from, most).await;
+    async fn history(
+        &self,
+        from: Version,
+        max_records: usize,
+    ) -> Result<Vec<ChangeRecord>, OpsError> {
+        let records = self.ledger.history(from, max_records).await;
         records.map_err(|err| OpsError::from_ledger(&err, unix_now()))
     }
 
     async fn report(&self) -> Result<FleetReport, OpsError> {
-        let snapshot = self.accepted().await?;
+        let snapshot = self.load_accepted().await?;
         let acks = read_acks(&self.store, &self.key_prefix).await;
-        let acks = acks.map_err(report_error)?;
+        let acks = acks.map_err(report_to_ops_error)?;
         Ok(make_report(snapshot.root.change.clone(), &self.known_proxies(), &acks))
     }
 
@@ -123,8 +127,8 @@
         let record = self.history(version, 1).await?.into_iter().next();
         let record = record.filter(|record| record.version == version).ok_or_else(not_found)?;
         let times = read_times(&self.store, &self.key_prefix, version).await;
-        let times = times.map_err(report_error)?;
-        let acks = read_acks(&self.store, &self.key_prefix).await.map_err(report_error)?;
+        let times = times.map_err(report_to_ops_error)?;
+        let acks = read_acks(&self.store, &self.key_prefix).await.map_err(report_to_ops_error)?;
         Ok(make_change_report(record, &times, &self.known_proxies(), &acks))
     }
 
@@ -142,8 +146,9 @@
         address: SocketAddr,
     ) -> Result<(), OpsError> {
         let endpoints = self.servers.endpoints();
-        let is_known = endpoints.iter().any(|held| held.service == announcement.service);
-        if !is_known && endpoints.len() >= MAX_SERVICES {
+        let is_known_service =
+            endpoints.iter().any(|endpoint| endpoint.service == announcement.service);
+        if !is_known_service && endpoints.len() >= MAX_SERVICES {
             let reason = format!("too many services; allowed: {MAX_SERVICES} beside a daemon");
             return Err(OpsError::Malformed { reason });
         }
@@ -176,7 +181,7 @@
             name: name.to_owned(),
             born: beat.born.unwrap_or_default(),
             sequence: beat.sequence,
-            service: self.border.service_path(&beat.service),
+            service: self.platform.service_path(&beat.service),
             address,
             slots: beat.slots,
             status: match beat.state {
@@ -185,16 +190,18 @@
             },
             warm_up: Duration::from_millis(beat.warm_up_left),
         };
-        match self.heartbeats().judge(&heartbeat, process_now()) {
-            HeartbeatVerdict::News => self.take_heartbeat(heartbeat),
-            HeartbeatVerdict::Stale => log::info!("ops: a late heartbeat of {name} says nothing."),
+        match self.lock_heartbeats().judge(&heartbeat, process_now()) {
+            HeartbeatVerdict::News => self.apply_heartbeat(heartbeat),
+            HeartbeatVerdict::Stale => {
+                log::info!("ops: ignored a stale heartbeat of server {name}.")
+            }
         }
         Ok(())
     }
 
     fn leave(&self, name: &str) -> Result<(), OpsError> {
-        let process = self.heartbeats().leave(name, unix_now(), process_now());
-        log::info!("ops: server {name} said good-bye.");
+        let process = self.lock_heartbeats().leave(name, unix_now(), process_now());
+        log::info!("ops: server {name} deregistered.");
         if process.is_some_and(|process| self.servers.retire(&process)) {
             publish_endpoints(&self.servers, &self.members);
         }
@@ -203,22 +210,24 @@
 }
 
 impl DaemonPort {
-    /// Gives the newest accepted configuration, as far as it can be known here.
-    async fn accepted(&self) -> Result<Arc<ConfigSnapshot>, OpsError> {
-        if self.border.is_external() {
+    /// Returns the newest accepted configuration that is known here: from the ledger, or the newest
+    /// one received where the configuration is not written by this fleet.
+    async fn load_accepted(&self) -> Result<Arc<ConfigSnapshot>, OpsError> {
+        if self.platform.is_external() {
             return Ok(self.held.newest());
         }
         let snapshot = self.ledger.load(&self.held.current()).await;
         snapshot.map(Arc::new).map_err(|err| OpsError::from_ledger(&err, unix_now()))
     }
 
-    fn heartbeats(&self) -> MutexGuard<'_, HeartbeatBook> {
+    fn lock_heartbeats(&self) -> MutexGuard<'_, HeartbeatBook> {
         self.heartbeats.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Enters a server as its heartbeat says. The heartbeat is acknowledged after this, so that an
-    /// acknowledged drain holds at the guard, by which alone the server gets requests.
-    pub(crate) fn take_heartbeat(&self, heartbeat: ServerHeartbeat) {
+    /// Adds or updates a server with the content of its heartbeat. The heartbeat is acknowledged
+    /// after this, so that an acknowledged drain is in effect at the guard, through which alone the
+    /// server receives requests.
+    pub(crate) fn apply_heartbeat(&self, heartbeat: ServerHeartbeat) {
         let server = heartbeat.process();
         self.members.update(|table| table.readmit_server(&server), |()| false);
         self.servers.displace(heartbeat.address, &server);
@@ -242,16 +251,16 @@
         let known = |record: &MemberRecord| KnownProxy {
             data_centre: record.data_centre.clone(),
             incarnation: record.incarnation,
-            unreachable_since: self.reach.lost_since(&record.proxy),
+            unreachable_since: self.unreachable.unreachable_since(&record.proxy),
         };
         let view = self.members.view();
         view.iter().map(|(proxy, record)| (proxy.clone(), known(record))).collect()
     }
 }
 
-fn report_error(err: ReportError) -> OpsError {
+fn report_to_ops_error(err: ReportError) -> OpsError {
     match err {
-        ReportError::Store(err) => store_error(&err),
+        ReportError::Store(err) => store_to_ops_error(&err),
         err => OpsError::Internal { reason: err.to_string() },
     }
 }
--- a/components/daemon/src/scrape.rs
+++ b/components/daemon/src/scrape.rs
@@ -1,12 +1,12 @@
-//! Metrics as text in the Prometheus format, served to whoever asks.
+//! Metrics in the Prometheus text format, served over HTTP without authentication.
 //!
 //! | Name | Kind | Labels | Meaning |
 //! |---|---|---|---|
 //! | `sapphirekeel_request_seconds` | histogram | `service`, `outcome`, `stage` | time of requests; stages `whole`, `queue`, `server` |
 //! | `sapphirekeel_requests_total` | counter | `outcome` | callers' requests that ended here |
-//! | `sapphirekeel_refusals_total` | counter | `reason` | answers of the daemon's own, as entry and as guard |
-//! | `sapphirekeel_retries_total` | counter | | attempts after the first that drew on the retries |
-//! | `sapphirekeel_retries_denied_total` | counter | | failed attempts that were not tried again |
+//! | `sapphirekeel_refusals_total` | counter | `reason` | answers that the daemon gave itself, as entry and as guard |
+//! | `sapphirekeel_retries_total` | counter | | retries, which draw on the retry budget |
+//! | `sapphirekeel_retries_denied_total` | counter | | failed attempts that were not retried |
 //! | `sapphirekeel_cut_answers_total` | counter | | answers that ended in an error after their head |
 //! | `sapphirekeel_in_flight` | gauge | | callers' requests in this daemon |
 //! | `sapphirekeel_config_version` | gauge | | version in force |
@@ -16,7 +16,7 @@
 //! | `sapphirekeel_members` | gauge | `status` | daemons known, by status |
 //! | `sapphirekeel_server_running`, `_queued`, `_slots` | gauge | `service` | the guard's counts |
 //! | `sapphirekeel_control_bytes_total` | counter | `direction` | bytes of control traffic |
-//! | `sapphirekeel_quarantined` | gauge | | requests held back for crashing servers |
+//! | `sapphirekeel_quarantined` | gauge | | requests refused because they crash servers |
 
 use std::{collections::BTreeMap, convert::Infallible, sync::Arc, time::Duration};
 
@@ -35,19 +35,19 @@
 use tokio::net::TcpListener;
 
 const METRICS_PATH: &str = "/metrics";
-/// Time for a scraper to send its request; without a bound a connection that says nothing holds a
-/// file descriptor for good.
+/// Time for a client to send its request head. Without a bound, a connection that sends nothing
+/// would occupy a file descriptor forever.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause after a failed accept, which usually means that no file descriptor is left.
+/// Pause after a failed accept, which usually means that no file descriptor is free.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(200);
 
-/// What metrics are made of.
+/// Sources of the metrics.
 pub(crate) struct ScrapeParts {
     pub(crate) port: SharedPort,
     pub(crate) counters: Arc<ProxyCounters>,
 }
 
-/// Metrics that cannot be written as text.
+/// Metrics that cannot be encoded as text.
 #[derive(Debug, Error)]
 #[error("metrics: {0}")]
 struct ScrapeError(#[from] prometheus::Error);
@@ -58,14 +58,14 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(err) => {
-                log::warn!("metrics: cannot accept: {err}.");
+                log::warn!("metrics: cannot accept a connection: {err}.");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
                 continue;
             }
         };
         let parts = parts.clone();
         let service = service_fn(move |request| {
-            let response = answer(&parts, &request);
+            let response = make_response(&parts, &request);
             async move { Ok::<_, Infallible>(response) }
         });
         let mut server = http1::Builder::new();
@@ -74,7 +74,7 @@
     }
 }
 
-fn answer(parts: &ScrapeParts, request: &Request<Incoming>) -> Response<Full<Bytes>> {
+fn make_response(parts: &ScrapeParts, request: &Request<Incoming>) -> Response<Full<Bytes>> {
     let (status, text) = match request.uri().path() {
         METRICS_PATH => match write_metrics(parts) {
             Ok(text) => (StatusCode::OK, text),
@@ -103,7 +103,7 @@
     Ok(text)
 }
 
-/// Metrics made anew for each scrape from counts that the parts hold anyway.
+/// Registers metrics for one scrape, from counts that the daemon's parts keep anyway.
 struct MetricWriter<'a>(&'a Registry);
 
 impl MetricWriter<'_> {
@@ -131,7 +131,7 @@
         })
     }
 
-    /// Puts a count under each label's value and adds the metric.
+    /// Sets the count of each label value with `put` and registers the metric.
     fn add<B: MetricVecBuilder + 'static>(
         &self,
         metric: MetricVec<B>,
@@ -144,8 +144,9 @@
 }
 
 /// Label of metrics that have a single value.
-const SCOPE: &str = "scope";
-const HERE: &str = "daemon";
+const SCOPE_LABEL: &str = "scope";
+/// Value of the label [`SCOPE_LABEL`].
+const DAEMON_SCOPE: &str = "daemon";
 
 fn add_counters(registry: &Registry, parts: &ScrapeParts) -> Result<(), prometheus::Error> {
     let writer = MetricWriter(registry);
@@ -165,7 +166,8 @@
         "reason",
         &refused,
     )?;
-    let single = |name, help, count| writer.counter(name, help, SCOPE, &[(HERE, count)]);
+    let single =
+        |name, help, count| writer.counter(name, help, SCOPE_LABEL, &[(DAEMON_SCOPE, count)]);
     single("sapphirekeel_retries_total", "Attempts that drew on the retries.", counts.retries)?;
     single(
         "sapphirekeel_retries_denied_total",
@@ -180,14 +182,15 @@
     writer.gauge(
         "sapphirekeel_in_flight",
         "Callers' requests in this daemon.",
-        SCOPE,
-        &[(HERE, counts.in_flight)],
+        SCOPE_LABEL,
+        &[(DAEMON_SCOPE, counts.in_flight)],
     )
 }
 
 fn add_gauges(registry: &Registry, state: &StateDump) -> Result<(), prometheus::Error> {
     let writer = MetricWriter(registry);
-    let single = |name, help, count| writer.gauge(name, help, SCOPE, &[(HERE, count)]);
+    let single =
+        |name, help, count| writer.gauge(name, help, SCOPE_LABEL, &[(DAEMON_SCOPE, count)]);
     single("sapphirekeel_config_version", "Version in force.", state.version)?;
     let age_ms = if state.since > 0 { sk_model::unix_now().saturating_sub(state.since) } else { 0 };
     single("sapphirekeel_config_since_seconds", "Age of the version in force.", age_ms / 1000)?;
--- a/components/daemon/src/source.rs
+++ b/components/daemon/src/source.rs
@@ -1,4 +1,4 @@
-//! The ledger as the spread's configuration source.
+//! The ledger as configuration source, and the report book as receiver of acknowledgements.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,7 +9,7 @@
 use sk_spread::{AckSink, ConfigSource, SourceError, SourceNews};
 use tokio::time::Instant;
 
-/// The ledger behind the spread's border.
+/// Gives the control thread access to the ledger.
 pub(crate) struct LedgerSource {
     pub(crate) ledger: Arc<Ledger>,
 }
@@ -17,7 +17,7 @@
 #[async_trait]
 impl ConfigSource for LedgerSource {
     async fn load(&self, held: &ConfigSnapshot) -> Result<ConfigSnapshot, SourceError> {
-        self.ledger.load(held).await.map_err(source_error)
+        self.ledger.load(held).await.map_err(ledger_to_source_error)
     }
 
     async fn wait_newer(
@@ -26,23 +26,23 @@
         timeout: Duration,
     ) -> Result<SourceNews, SourceError> {
         let began = Instant::now();
-        let newer = self.ledger.wait_newer(held, timeout).await.map_err(source_error)?;
+        let newer = self.ledger.wait_newer(held, timeout).await.map_err(ledger_to_source_error)?;
         let seen_at = if newer.is_none() { began + timeout } else { began };
         Ok(SourceNews { newer, seen_at })
     }
 }
 
-fn source_error(err: LedgerError) -> SourceError {
+fn ledger_to_source_error(err: LedgerError) -> SourceError {
     SourceError { reason: err.to_string() }
 }
 
-/// The report book behind the spread's border.
-pub(crate) struct BookSink {
-    pub(crate) book: Arc<ReportBook>,
+/// Passes acknowledgements from the control thread to the report book.
+pub(crate) struct ReportAckSink {
+    pub(crate) report_book: Arc<ReportBook>,
 }
 
-impl AckSink for BookSink {
+impl AckSink for ReportAckSink {
     fn note(&self, acks: Vec<ProxyAck>) {
-        self.book.note(acks);
+        self.report_book.note(acks);
     }
 }
--- a/components/daemon/src/tasks.rs
+++ b/components/daemon/src/tasks.rs
@@ -1,4 +1,4 @@
-//! Work that a daemon does in the background.
+//! Background tasks of a daemon.
 
 use std::{
     collections::BTreeSet,
@@ -14,10 +14,10 @@
 use sk_spread::HeldConfig;
 use sk_store::SharedStore;
 
-/// Time between looks for backend servers that no longer announce themselves.
+/// Interval between checks for backend servers that no longer announce themselves.
 const EXPIRE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Rebuilds the table whenever the configuration or the members change.
+/// Rebuilds the route table whenever the configuration or the members change.
 pub(crate) async fn build_tables(
     table: SharedTable,
     held: Arc<HeldConfig>,
@@ -44,29 +44,29 @@
     }
 }
 
-/// Gives the records whose servers may get work: those that are reachable, and the others for
-/// services that no reachable one runs.
+/// Returns the records whose servers may receive work: those of reachable daemons, and those of
+/// unreachable daemons that run a service which no reachable daemon runs.
 ///
-/// A daemon that is cut off, or whose control thread was starved, believes others unreachable that
-/// requests may still reach. Trying them costs a failed connect, which says "not run"; leaving
-/// them out would refuse every request to their services.
+/// A daemon that is disconnected, or whose control thread was starved, considers others unreachable
+/// that requests may still reach. Trying them costs a failed connect, after which the request is
+/// known not to have run; leaving them out would refuse every request to their services.
 fn usable_records<'a>(view: &'a MemberView, marks: &MemberMarks) -> Vec<&'a MemberRecord> {
     let is_reachable = |record: &&MemberRecord| {
         marks.get(&record.proxy).is_none_or(|mark| *mark != LocalMark::Unreachable)
     };
-    let (mut usable, lost): (Vec<&MemberRecord>, Vec<&MemberRecord>) =
+    let (mut usable, unreachable): (Vec<&MemberRecord>, Vec<&MemberRecord>) =
         view.values().map(|record| &**record).partition(is_reachable);
     let endpoints = usable.iter().flat_map(|record| &record.endpoints);
     let served: BTreeSet<&ServiceName> = endpoints.map(|endpoint| &endpoint.service).collect();
     let is_needed = |record: &&MemberRecord| {
         record.endpoints.iter().any(|endpoint| !served.contains(&endpoint.service))
     };
-    let needed: Vec<&MemberRecord> = lost.into_iter().filter(is_needed).collect();
+    let needed: Vec<&MemberRecord> = unreachable.into_iter().filter(is_needed).collect();
     usable.extend(needed);
     usable
 }
 
-/// Tells the other daemons what backend servers stand beside this one.
+/// Announces the local backend servers to the other daemons.
 pub(crate) fn publish_endpoints(servers: &LocalServers, members: &MemberBoard) {
     let endpoints = servers.endpoints();
     members.update(|table| table.set_endpoints(endpoints), |changed| *changed);
@@ -85,7 +85,7 @@
     }
 }
 
-/// Keeps acknowledgements in the platform.
+/// Writes acknowledgements to the platform, with a pause before each write.
 pub(crate) async fn flush_reports(book: Arc<ReportBook>, store: SharedStore, pause: Duration) {
     let outage = OutageLog::new("report", "the platform's store");
     loop {
--- a/components/daemon/tests/metrics_sent.rs
+++ b/components/daemon/tests/metrics_sent.rs
@@ -1,4 +1,4 @@
-//! Metrics arrive at their receiver, and a receiver that is away costs nothing.
+//! Metrics arrive at their receiver, and an unavailable receiver does not affect the daemon.
 
 use std::{
     collections::BTreeSet,
@@ -14,7 +14,7 @@
 /// Longest wait for a datagram; the first comes at the start.
 const WAIT_BOUND: Duration = Duration::from_secs(30);
 
-/// Starts a daemon whose platform is away, as metrics must not depend on it.
+/// Starts a daemon without a platform, because metrics must not depend on it.
 async fn start(metrics: &str) -> DaemonHandle {
     let text = format!(
         r#"
@@ -41,7 +41,7 @@
 {metrics}
 "#
     );
-    let settings = parse_settings(Path::new("daemon.toml"), &text).expect("good settings");
+    let settings = parse_settings(Path::new("daemon.toml"), &text).expect("valid settings");
     start_daemon(&settings).await.expect("daemon starts")
 }
 
@@ -49,7 +49,7 @@
     format!("[metrics]\naddress = \"{address}\"\n")
 }
 
-/// Gives `name|kind|tags` of a line, without the value.
+/// Returns `name|kind|tags` of a statsd line, without the value.
 fn shape(line: &str) -> Option<String> {
     let (name, rest) = line.split_once(':')?;
     let (value, kind) = rest.split_once('|')?;
@@ -98,15 +98,16 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn receiver_away() {
-    // Nobody takes the datagrams. A daemon that waited for the receiver would not stop in time.
+async fn receiver_unavailable() {
+    // No process receives the datagrams. A daemon that waited for the receiver would not stop in
+    // time.
     let receiver = UdpSocket::bind("127.0.0.1:0").expect("socket");
     let address = receiver.local_addr().expect("address");
     drop(receiver);
     for metrics in [metrics_at(address), String::new()] {
         let daemon = start(&metrics).await;
-        let begin = Instant::now();
+        let start_time = Instant::now();
         assert!(daemon.stop().await);
-        assert!(begin.elapsed() < WAIT_BOUND);
+        assert!(start_time.elapsed() < WAIT_BOUND);
     }
 }
