--- a/components/spread/src/ack_batch.rs
+++ b/components/spread/src/ack_batch.rs
@@ -1,11 +1,11 @@
-//! Acknowledgements on their way through a relay.
+//! Batches acknowledgements at a relay, the newest one per daemon.
 
 use std::{cell::RefCell, collections::BTreeMap};
 
 use sk_model::ProxyAck;
 use tokio::sync::Notify;
 
-/// Acknowledgements that came to this relay and are not given on yet, the last one per daemon.
+/// Acknowledgements received by this relay and not passed on yet, the newest one per daemon.
 #[derive(Default)]
 pub(crate) struct AckBatch {
     waiting: RefCell<BTreeMap<String, ProxyAck>>,
@@ -24,18 +24,19 @@
         self.arrived.notify_one();
     }
 
-    /// Waits until something has arrived.
+    /// Waits until acknowledgements have arrived.
     pub(crate) async fn arrived(&self) {
         self.arrived.notified().await;
     }
 
-    /// Takes what has arrived.
+    /// Takes all pending acknowledgements.
     pub(crate) fn take(&self) -> Vec<ProxyAck> {
         self.waiting.take().into_values().collect()
     }
 }
 
-/// Orders acknowledgements of one daemon, which may come out of order over two connections.
+/// Returns the sort key of acknowledgements of one daemon, which may arrive out of order over two
+/// connections.
 fn ack_rank(ack: &ProxyAck) -> (u64, u64, u64) {
     (ack.incarnation, ack.version, ack.rejected.as_ref().map_or(0, |rejected| rejected.version))
 }
--- a/components/spread/src/acks.rs
+++ b/components/spread/src/acks.rs
@@ -1,4 +1,6 @@
-//! Acknowledgements: a daemon's own word on what it holds, brought to the relays.
+//! Acknowledgements: each daemon reports its version to the relays of its data centre, which pass
+//! the reports on in batches. A relay that did not accept one is retried, so that no report is
+//! lost.
 
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
@@ -15,19 +17,20 @@
     state::CallKind,
 };
 
-/// Longest pause before an acknowledgement. A data centre of 87 daemons applies a change within
-/// tens of milliseconds; all their answers in one of them would queue at the relay.
+/// Longest random delay before an acknowledgement. A data centre of 87 daemons applies a change
+/// within tens of milliseconds, and all acknowledgements within one of them would queue at the
+/// relay.
 const ACK_SPREAD: Duration = Duration::from_millis(50);
-/// The same after the relays changed, when every daemon tells the new one what it holds: nobody
-/// waits for it, and a relay that has just taken over has other work.
+/// The same after the relays changed, when every daemon reports its version to the new one. Nobody
+/// waits for these reports, and a relay that has just taken over has other work.
 const REACK_SPREAD: Duration = Duration::from_secs(1);
-/// First and longest pause after a relay did not take an acknowledgement.
+/// First and longest pause after a relay did not accept an acknowledgement.
 const FIRST_PAUSE: Duration = Duration::from_millis(500);
 const LONGEST_PAUSE: Duration = Duration::from_secs(5);
-/// Time in which a relay gathers acknowledgements before it gives them on in one piece.
+/// Time in which a relay batches acknowledgements before it passes them on.
 const BATCH_PAUSE: Duration = Duration::from_millis(100);
 
-/// Gives on what has arrived, in batches.
+/// Passes received acknowledgements on, in batches.
 pub(crate) async fn flush_acks(node: &Rc<SpreadNode>) {
     loop {
         node.ack_batch.arrived().await;
@@ -36,7 +39,7 @@
     }
 }
 
-/// Tells each relay what this daemon holds, until the relay has taken it.
+/// Sends this daemon's acknowledgement to each relay, until the relay has accepted it.
 pub(crate) async fn keep_acks(node: &Rc<SpreadNode>) {
     let mut status = node.held.subscribe();
     let mut relays = node.relays.subscribe();
--- a/components/spread/src/auth.rs
+++ b/components/spread/src/auth.rs
@@ -1,17 +1,18 @@
-//! Proofs that a peer knows the fleet's shared secret.
+//! Proofs that a peer knows the secret shared by the fleet.
 //!
-//! Each side proves the secret over both nonces, so that a recorded proof is worth nothing in
-//! another session. Traffic after the proof is not encrypted: the network between instances is
-//! trusted not to alter streams, as docs/DESIGN.md says.
+//! Each side signs both nonces, so that a recorded proof is useless in another session. Traffic
+//! after the proof is not encrypted: the network between instances is trusted not to alter
+//! streams, as docs/DESIGN.md says.
 
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 use subtle::ConstantTimeEq;
 
-/// Random bytes of each side.
+/// Random bytes contributed by one side.
 pub(crate) type Nonce = [u8; 16];
 
-/// Which side a proof speaks for; the two differ so that one cannot be sent back as the other.
+/// The side that makes a proof. It is part of the proof, so that neither side can return the
+/// other's proof as its own.
 #[derive(Clone, Copy)]
 pub(crate) enum ProofSide {
     Caller,
@@ -22,7 +23,7 @@
     rand::random()
 }
 
-/// Makes one side's proof over both nonces.
+/// Makes the proof of one side over both nonces.
 pub(crate) fn make_proof(secret: &[u8], side: ProofSide, caller: &[u8], callee: &[u8]) -> Vec<u8> {
     let mut mac = Hmac::<Sha256>::new_from_slice(secret).expect("HMAC takes keys of any length");
     mac.update(match side {
@@ -34,7 +35,7 @@
     mac.finalize().into_bytes().to_vec()
 }
 
-/// Compares a proof in constant time.
+/// Verifies the proof of one side in constant time.
 pub(crate) fn is_proof(
     secret: &[u8],
     side: ProofSide,
--- a/components/spread/src/backoff.rs
+++ b/components/spread/src/backoff.rs
@@ -1,13 +1,13 @@
-//! Pauses between tries, drawn so that many daemons do not return in step.
+//! Randomised pauses between tries, so that many daemons do not retry in step.
 
 use std::time::Duration;
 
 use sk_decide::backoff::{BackoffSettings, draw_around, draw_between};
 
-/// Pause of one kind of try, with full jitter.
+/// Backoff of one kind of try, with full jitter.
 ///
-/// Made for a whole fleet whose tries fail at one moment, such as when the platform goes away. The
-/// cap bounds how long a daemon stays behind after the fault has ended.
+/// It suits a whole fleet whose tries fail at the same moment, such as when the platform becomes
+/// unreachable. The cap bounds how long a daemon lags behind after the fault has ended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RetryPause {
     settings: BackoffSettings,
@@ -15,7 +15,7 @@
 }
 
 impl RetryPause {
-    /// Makes one whose first pause is drawn from nothing to `base`, and no pause is over `cap`.
+    /// Creates a backoff whose first pause is drawn from zero to `base`; no pause exceeds `cap`.
     pub(crate) const fn new(base: Duration, cap: Duration) -> Self {
         Self { settings: BackoffSettings { base, cap }, failures: 0 }
     }
@@ -27,23 +27,23 @@
         pause
     }
 
-    /// Allows longer pauses from now on.
+    /// Raises the cap of later pauses.
     pub(crate) fn raise_cap(&mut self, cap: Duration) {
         self.settings.cap = self.settings.cap.max(cap);
     }
 
-    /// Begins again with the first pause, after a success.
+    /// Restarts with the first pause, after a success.
     pub(crate) fn reset(&mut self) {
         self.failures = 0;
     }
 }
 
-/// Spreads a mean pause over half to one and a half of it.
+/// Draws a pause between 0.5 and 1.5 times `mean`.
 pub(crate) fn jittered(mean: Duration) -> Duration {
     draw_around(mean, &mut rand::rng())
 }
 
-/// Draws a pause between nothing and `most`.
+/// Draws a pause between zero and `max`.
 pub(crate) fn drawn(most: Duration) -> Duration {
     draw_between(Duration::ZERO, most, &mut rand::rng())
 }
--- a/components/spread/src/codec.rs
+++ b/components/spread/src/codec.rs
@@ -1,4 +1,6 @@
-//! Conversion between the generated wire types and the types of the other crates.
+//! Converts between the generated wire types and the types of the other crates. Lists, texts and
+//! compressed content are bounded, so that a faulty peer cannot exhaust memory or the control
+//! thread's time.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -16,20 +18,21 @@
     update::{ConfigUpdate, TreeContent, TreeHashes, TreeUpdate},
 };
 
-/// Most records, acknowledgements or subtrees in one message: five times the fleet designed for.
-/// A longer list is a fault of its sender, and reading it would take the control thread's time.
+/// Maximum number of records, acknowledgements or subtrees in one message: 5 times the largest
+/// supported fleet. A longer list is a fault of its sender, and reading it would block the control
+/// thread.
 const MAX_ITEMS: u32 = 4_096;
-/// Most backend servers beside one daemon; an instance runs a few.
+/// Maximum number of backend servers beside one daemon; an instance runs a few.
 const MAX_ENDPOINTS: u32 = 64;
-/// Most digest buckets in one message.
+/// Maximum number of digest buckets in one message.
 const MAX_BUCKETS: u32 = 1_024;
 /// Longest name, address, hash or service path in bytes. The longest that settings or the model
-/// allow is a path of 200 bytes; kept records of longer ones would let a peer fill the memory.
+/// allow is a path of 200 bytes; stored records with longer ones would let a peer fill the memory.
 const MAX_TEXT_BYTES: usize = 256;
-/// Largest subtree in bytes once unpacked: several at the platform's bound of a megabyte. A faulty
-/// peer's few bytes could unpack to all of the memory.
+/// Largest subtree in bytes after decompression: several at the platform's limit of one megabyte.
+/// A few bytes from a faulty peer could otherwise decompress to fill the memory.
 const MAX_UNPACKED_BYTES: u64 = 8 << 20;
-/// Longest reason of a refusal kept, in bytes. Reasons are for reading; the rest is cut.
+/// Longest stored reason of a rejection, in bytes. Reasons are for people; the rest is cut off.
 const MAX_REASON_BYTES: usize = 1_024;
 
 pub(crate) fn write_update(
@@ -263,7 +266,11 @@
     })
 }
 
-/// Reads a text that is kept, if it is no longer than any that a sound peer sends.
+/// Reads a text that is stored.
+///
+/// # Errors
+///
+/// Fails if it is longer than any text that a healthy peer sends.
 pub(crate) fn read_text(text: capnp::text::Reader<'_>) -> Result<String, Error> {
     if text.len() > MAX_TEXT_BYTES {
         return Err(Error::failed("text too long".to_owned()));
@@ -288,8 +295,8 @@
     text.to_str()?.parse().map_err(|_| Error::failed("malformed address".to_owned()))
 }
 
-/// Encodes a value as compressed JSON. Settings of one team repeat each other's text, and a large
-/// change goes over every daemon's link several times.
+/// Encodes a value as compressed JSON. Settings of one team repeat text, and a large change
+/// crosses every daemon's link several times.
 fn pack<T: Serialize>(value: &T) -> Result<Vec<u8>, Error> {
     let json = serde_json::to_vec(value).map_err(|err| Error::failed(err.to_string()))?;
     let mut encoder = ZlibEncoder::new(Vec::new(), Compression::fast());
--- a/components/spread/src/connect.rs
+++ b/components/spread/src/connect.rs
@@ -1,4 +1,6 @@
-//! Connections to peers, each proved from both sides and used in both directions.
+//! Opens, authenticates and runs connections to peers; each is used for calls in both directions.
+//! Time, size and number of unauthenticated connections are bounded, so that foreign processes
+//! cannot exhaust file descriptors or memory.
 
 use std::{cell::RefCell, net::SocketAddr, rc::Rc, sync::Arc, time::Duration};
 
@@ -18,31 +20,31 @@
     session::{PeerSession, SessionLink},
 };
 
-/// Time until a peer that does not accept counts as unreachable.
+/// Time until a peer that does not accept a connection counts as unreachable.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time a connection may take to prove the secret. A proof takes two round trips; a stranger that
-/// connects and says nothing would otherwise hold a file descriptor for ever.
+/// Time that a connection may take to authenticate. Authentication takes two round trips; a
+/// process that connects and sends nothing would otherwise occupy a file descriptor for ever.
 const PROOF_TIMEOUT: Duration = Duration::from_secs(3);
-/// Connections at once that have proved nothing yet. A herd restart brings a seed hundreds in a
-/// second, each for a few milliseconds; refused ones come back after a jittered pause.
+/// Maximum number of unauthenticated connections at once. A fleet restart brings a seed hundreds
+/// within a second, each for a few milliseconds; refused daemons come back after a jittered pause.
 const MAX_UNPROVEN: usize = 128;
-/// Time that an orderly end of a connection may take before it is dropped.
+/// Time that an orderly close may take before the connection is dropped.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest time of one call, however much its peer is heard from. Other traffic of the peer must not
-/// keep a call alive whose answer will not come.
+/// Longest time of one call, even while its peer keeps sending. Other traffic of the peer must not
+/// keep a call alive whose answer will never arrive.
 const LONGEST_CALL: Duration = Duration::from_secs(10);
 /// Largest message from a peer in words of 8 bytes: 8 MB, the whole configuration of a fleet with
-/// several subtrees at the platform's bound of a megabyte. A larger one ends its connection.
+/// several subtrees at the platform's limit of one megabyte. A larger message ends its connection.
 const MAX_MESSAGE_WORDS: usize = 1 << 20;
-/// Deepest nesting of a message; the schema needs five.
+/// Deepest nesting of a message; the schema needs 5.
 const MAX_NESTING: i32 = 16;
 
-/// Closes a connection that is not proven when its opening ends, also where a caller with less
-/// patience than [`PROOF_TIMEOUT`] drops it.
+/// Closes a connection that is not authenticated when its opening ends, including when a caller
+/// with a shorter time limit than [`AUTH_TIMEOUT`] drops the attempt.
 ///
-/// A connection left open would never be used or closed by this side: files would run out. The
-/// peer may have entered it among its own as the newest way here, and would get nothing but
-/// refusals over it, so that its heartbeats stay away although it runs.
+/// A connection left open would never be used or closed by this side, and file descriptors would
+/// run out. The peer may also have stored it as the newest connection to this daemon, and every
+/// call over it would be refused, so that its heartbeats are missing although it runs.
 struct OpeningGuard(Option<SessionLink>);
 
 impl OpeningGuard {
@@ -59,7 +61,11 @@
     }
 }
 
-/// Connects to a peer, proves the secret both ways and gives the session.
+/// Connects to a peer, authenticates both sides and returns the session.
+///
+/// # Errors
+///
+/// Fails if the peer cannot be reached, does not know the secret or does not authenticate in time.
 pub(crate) async fn open_session(
     node: &Rc<SpreadNode>,
     address: SocketAddr,
@@ -96,7 +102,7 @@
     params.set_peer(capnp_rpc::new_client_from_rc(back.clone()));
     let response = request.send().promise.await?;
     let response = response.get()?;
-    // Without this check, whoever took over a peer's address could feed configuration to us.
+    // Without this check, a process that took over a peer's address could send us configuration.
     if !is_proof(secret, ProofSide::Callee, &caller, callee, response.get_proof()?) {
         return Err(Error::failed("peer does not know the secret".to_owned()));
     }
@@ -106,7 +112,7 @@
     Ok(session)
 }
 
-/// Serves one connection that a peer opened.
+/// Runs a connection that a peer opened, and closes it unless the peer authenticates in time.
 pub(crate) fn serve_session(node: &Rc<SpreadNode>, stream: TcpStream) {
     if node.unproven.get() >= MAX_UNPROVEN {
         log::warn!("spread: refused a connection, {MAX_UNPROVEN} have proved nothing yet.");
@@ -164,7 +170,7 @@
         () = link.close.notified() => {
             let closing = async {
                 if let Some(disconnector) = disconnector.take() {
-                    // The connection ends either way; a fault of its end changes nothing.
+                    // The connection ends either way, so an error of the disconnect has no effect.
                     let _ = disconnector.await;
                 }
             };
@@ -179,7 +185,7 @@
     sweep_sessions(&node);
 }
 
-/// Closes connections that are unused, and reports lost peers.
+/// Closes unused connections and reports lost peers to the liveness monitor.
 pub(crate) fn sweep_sessions(node: &SpreadNode) {
     let swept = node.pool.sweep(&node.link_names());
     node.stats.set_sessions(swept.open);
@@ -187,7 +193,7 @@
 }
 
 impl SpreadNode {
-    /// Gives the open connection to a member, or opens one.
+    /// Returns the open connection to a member, or opens one.
     pub(crate) async fn session(self: &Rc<Self>, proxy: &str) -> Result<Rc<PeerSession>, Error> {
         if let Some(session) = self.pool.get(proxy) {
             return Ok(session);
@@ -195,14 +201,18 @@
         let view = self.view();
         let record = view.get(proxy).ok_or_else(|| Error::failed("unknown peer".to_owned()))?;
         let session = open_session(self, record.control).await?;
-        // An address may be taken over by another daemon before its old owner's end is known.
+        // Another daemon may have taken over the address before its old owner's end is known.
         match session.proxy == proxy {
             true => Ok(session),
             false => Err(Error::failed("another daemon answers there".to_owned())),
         }
     }
 
-    /// Makes a call to a member, which fails when nothing comes from there for `patience`.
+    /// Calls a member over its open or a new connection.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the call fails, or if nothing arrives from the member for `silence_limit`.
     pub(crate) async fn call<T>(
         self: &Rc<Self>,
         proxy: &str,
@@ -216,8 +226,8 @@
         };
         let heard_at = || self.pool.get(proxy).map(|session| session.heard_at());
         let result = within_silence(attempt, patience, heard_at).await;
-        // A refusal by the peer's code leaves the connection sound; after anything else the next
-        // call begins on a fresh one.
+        // After an error from the peer's handler the connection is healthy; after any other error
+        // the next call uses a new one.
         if let Err(err) = &result
             && err.kind != ErrorKind::Failed
             && let Some(session) = self.pool.get(proxy)
@@ -228,11 +238,11 @@
     }
 }
 
-/// Awaits a call for as long as its peer is heard from every `patience`.
+/// Awaits a call as long as bytes arrive from its peer at least every `silence_limit`.
 ///
-/// Made for large answers over thin or busy links, which take longer than any fixed time that would
-/// still show a silent peer soon. Giving up on one in mid-transfer sends it again from its start,
-/// over the same link, and the version comes later for everyone behind it.
+/// Large answers over thin or busy links take longer than any fixed time limit that would still
+/// detect a silent peer soon. A call abandoned in mid-transfer is sent again from its start over
+/// the same link, which delays the version for all daemons behind it.
 async fn within_silence<T>(
     call: impl Future<Output = Result<T, Error>>,
     patience: Duration,
--- a/components/spread/src/counted.rs
+++ b/components/spread/src/counted.rs
@@ -1,4 +1,4 @@
-//! Counting of control bytes.
+//! Counts control bytes, and bounds what a connection may send before its peer has authenticated.
 
 use std::{
     io,
@@ -19,15 +19,16 @@
 
 use crate::session::SessionLink;
 
-/// Bytes that a caller may send before it has proved the secret. A challenge and a proof take a
-/// few hundred; without the bound a stranger could make a daemon buffer whole messages.
+/// Bytes that the connecting side may send before it has authenticated. A challenge and a proof
+/// take a few hundred; without the limit a foreign process could make a daemon buffer whole
+/// messages.
 const MAX_CALLER_BYTES: u64 = 8 * 1_024;
-/// The same for the side that was called. It proves itself with its last answer, and its first
-/// calls may follow in the same packet, before that answer has been looked at.
+/// The same for the accepting side. It authenticates with its last answer, and its first calls may
+/// follow in the same packet, before that answer is checked.
 const MAX_CALLEE_BYTES: u64 = 256 * 1_024;
 const UNBOUNDED: u64 = u64::MAX;
 
-/// Control bytes since the start of the process, TCP payload only.
+/// Control bytes since the start of the process; TCP payload only.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ControlBytes {
     /// Bytes sent.
@@ -44,7 +45,7 @@
 }
 
 impl ControlMeter {
-    /// Reads the counters.
+    /// Returns the current counts.
     pub fn bytes(&self) -> ControlBytes {
         ControlBytes {
             sent: self.sent.load(Ordering::Relaxed),
@@ -53,12 +54,13 @@
     }
 }
 
-/// Bytes that one connection may still receive.
+/// Number of bytes that one connection may still receive.
 #[derive(Debug)]
 pub(crate) struct ByteAllowance(AtomicU64);
 
 impl ByteAllowance {
-    /// Makes the allowance of a connection whose peer has proved nothing.
+    /// Creates the allowance of a connection whose peer has not authenticated; `side` is this
+    /// daemon's role.
     pub(crate) fn unproven(side: Side) -> Arc<Self> {
         Arc::new(Self(AtomicU64::new(match side {
             Side::Server => MAX_CALLER_BYTES,
@@ -66,12 +68,12 @@
         })))
     }
 
-    /// Lifts the bound, once the peer has proved the secret.
+    /// Removes the limit, once the peer has authenticated.
     pub(crate) fn lift(&self) {
         self.0.store(UNBOUNDED, Ordering::Relaxed);
     }
 
-    /// Gives how many bytes may still come.
+    /// Returns how many bytes may still arrive.
     fn left(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
@@ -84,7 +86,7 @@
     }
 }
 
-/// A stream whose bytes are counted, and bounded until its peer is proven.
+/// A stream that counts its bytes, and bounds them until its peer has authenticated.
 pub(crate) struct CountedStream {
     stream: TcpStream,
     meter: Arc<ControlMeter>,
--- a/components/spread/src/driver.rs
+++ b/components/spread/src/driver.rs
@@ -1,4 +1,5 @@
-//! Starting and stopping the control thread.
+//! Starts and stops the control thread, and connects its tasks. The thread has its own runtime, so
+//! that neither requests nor control traffic delay each other.
 
 use std::{
     cell::{Cell, RefCell},
@@ -40,36 +41,36 @@
     watch::{confirm_source, watch_source},
 };
 
-/// Pause after the listener failed; out of file descriptors, usually, and without the pause the
-/// loop would spin.
+/// Pause after the listener failed. It usually fails because file descriptors ran out, and the
+/// loop would spin without the pause.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(200);
-/// Time for the control thread to end. It does so at its next wait; one that is kept busy by a call that
-/// never returns must not keep the process alive.
+/// Longest wait for the control thread to end. It ends at its next await point; a thread that is
+/// blocked by a call that never returns must not keep the process alive.
 const STOP_TIME: Duration = Duration::from_millis(200);
-/// Time between looks whether it has ended.
+/// Time between checks whether the thread has ended.
 const STOP_LOOK: Duration = Duration::from_millis(2);
-/// Fetches that wait to be made; a later one is left to the next comparison.
+/// Maximum number of queued fetches; versions beyond it are left to the next reconciliation.
 const MAX_WANTS: usize = 32;
 
-/// What the spread needs of the rest of the daemon.
+/// Parts of the daemon that the control thread uses.
 pub struct SpreadParts {
-    /// The configuration held.
+    /// The held configuration.
     pub held: Arc<HeldConfig>,
-    /// The members known.
+    /// The known members.
     pub members: Arc<MemberBoard>,
-    /// Where configurations come from.
+    /// The source of accepted configurations.
     pub source: Arc<dyn ConfigSource>,
-    /// Where contacts are kept; without it only seeds are tried.
+    /// Stores contacts; without it only seeds are tried.
     pub contacts: Option<Arc<dyn ContactBook>>,
-    /// Takes acknowledgements at a relay.
+    /// Receives acknowledgements at a relay.
     pub acks: Arc<dyn AckSink>,
-    /// News of the request path; without it none are passed on.
+    /// Notices about requests; without it none are distributed.
     pub notices: Option<Arc<dyn NoticeBoard>>,
     /// Counts control bytes.
     pub meter: Arc<ControlMeter>,
 }
 
-/// The running spread.
+/// Handle of the running control thread, which stops when the handle is dropped.
 pub struct SpreadHandle {
     stop: Option<oneshot::Sender<()>>,
     thread: Option<std::thread::JoinHandle<()>>,
@@ -77,7 +78,7 @@
     ended: watch::Receiver<bool>,
 }
 
-/// Reads the state of a running spread, for the state dump.
+/// Reads the state of the control thread for the state dump.
 #[derive(Clone)]
 pub struct StateReader {
     stats: Arc<SpreadStats>,
@@ -85,13 +86,13 @@
 }
 
 impl StateReader {
-    /// Gives the state as of now.
+    /// Returns the current state.
     pub fn state(&self) -> SpreadState {
         self.stats.state(self.held.is_ready())
     }
 }
 
-/// Ends of the queues between the parts.
+/// Receiving ends of the queues between tasks.
 struct QueueEnds {
     passes: mpsc::UnboundedReceiver<PassOrder>,
     wants: mpsc::Receiver<FetchWant>,
@@ -102,7 +103,7 @@
 ///
 /// # Errors
 ///
-/// Returns an I/O error when the thread or its runtime cannot start.
+/// Returns an I/O error if the thread or its runtime cannot start.
 pub fn start_spread(
     options: SpreadOptions,
     listener: std::net::TcpListener,
@@ -115,7 +116,7 @@
     let reader = StateReader { stats: stats.clone(), held: parts.held.clone() };
     let (ending, ended) = watch::channel(false);
     let run = move || {
-        // Dropped with the thread, also where it panics.
+        // Dropped at the end of the thread, including a panic.
         let _ending = ending;
         let tasks = LocalSet::new();
         tasks.block_on(&runtime, async move {
@@ -130,20 +131,20 @@
 }
 
 impl SpreadHandle {
-    /// Gives a reader of the state.
+    /// Returns a reader of the state.
     pub fn reader(&self) -> StateReader {
         self.reader.clone()
     }
 
-    /// Gives a receiver whose sender is gone once the control thread has ended.
+    /// Returns a receiver whose sender is dropped once the control thread has ended.
     ///
-    /// A daemon whose control thread is gone would go on with old routes, unseen by the others;
-    /// one would notice only that its reports stay away.
+    /// A daemon without its control thread would go on serving old routes while the other daemons
+    /// no longer see it; the only symptom would be missing reports.
     pub fn ended(&self) -> watch::Receiver<bool> {
         self.ended.clone()
     }
 
-    /// Ends the control thread and waits for it, for a bounded time.
+    /// Ends the control thread and waits for it for a bounded time.
     pub fn stop(&mut self) {
         drop(self.stop.take());
         let Some(thread) = self.thread.take() else { return };
--- a/components/spread/src/fetch.rs
+++ b/components/spread/src/fetch.rs
@@ -1,4 +1,6 @@
-//! Fetching a version that a peer is known to hold.
+//! Fetches a version that a peer holds, with retries at other peers. Fetches run one at a time and
+//! after a grace period, so that a version is not transferred twice when the tree delivers it as
+//! well.
 
 use std::{rc::Rc, time::Duration};
 
@@ -20,54 +22,55 @@
     update::{TreeHashes, apply_update, tree_hashes},
 };
 
-/// Tries of one fetch before it is left to the next comparison with a peer.
+/// Tries of one fetch before the version is left to the next reconciliation.
 const MAX_TRIES: usize = 6;
 /// First and longest pause after a failed try. The cap keeps all tries within a few seconds.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
 const LONGEST_PAUSE: Duration = Duration::from_secs(1);
-/// How long a version that a heartbeat shows is left to the tree, on average. Without it every
-/// push would be fetched as well by whoever's heartbeat came first.
+/// Mean time for which a version seen in a heartbeat is left to the tree. Without it every push
+/// would also be fetched by whichever daemon sees a heartbeat first.
 const PUSH_GRACE: Duration = Duration::from_millis(500);
-/// The same where relays gather changes before they announce them.
+/// The same in announce mode, where relays batch changes before they announce them.
 const ANNOUNCE_GRACE: Duration = Duration::from_millis(2_500);
-/// Longest pause that a peer may ask for; a faulty one must not put a daemon to sleep.
+/// Longest pause that a peer may request, so that a faulty peer cannot stop fetches for long.
 const MAX_BUSY_PAUSE: Duration = Duration::from_secs(2);
 
-/// What a fetch gave.
+/// Answer of a peer to a fetch.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FetchReply {
-    /// The peer looked at the configuration source after it was asked.
+    /// The peer read the configuration source after it was asked.
     pub(crate) is_fresh: bool,
-    /// The peer looked there in vain.
+    /// The peer could not read the configuration source.
     pub(crate) is_away: bool,
     /// The peer itself is ready.
     pub(crate) is_ready: bool,
     pub(crate) outcome: FetchOutcome,
 }
 
-/// What became of a fetch.
+/// Result of one fetch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FetchOutcome {
-    /// What the peer holds is held here, or something newer.
+    /// The peer's version or a newer one is held here.
     Held,
-    /// What the peer holds fails validation here.
+    /// The peer's version fails validation here.
     Refused,
-    /// The peer serves too many fetches.
+    /// The peer serves too many fetches; it asks for this pause.
     Busy(Duration),
-    /// The peer needs the hashes of the subtrees.
+    /// The peer needs the hashes of the subtrees held here.
     NeedsTrees,
 }
 
 impl SpreadNode {
-    /// Asks for a version. Where too many wait already it is left to the next comparison.
+    /// Queues the fetch of a version. If the queue is full, the version is left to the next
+    /// reconciliation.
     pub(crate) fn want(&self, want: FetchWant) {
         if self.lacks(want.version, want.mark) {
             let _ = self.wants.try_send(want);
         }
     }
 
-    /// Notes a version that a peer holds according to a heartbeat or a comparison, and fetches it
-    /// if the tree does not bring it.
+    /// Compares a peer's version from a heartbeat or a reconciliation with the held one, and
+    /// schedules a fetch in case the tree does not deliver it.
     pub(crate) fn note_version(self: &Rc<Self>, from: &str, version: Version, mark: RootMark) {
         let (newest, newest_mark) = self.held.newest_mark();
         if version == newest && mark != newest_mark && newest > 0 {
@@ -80,7 +83,8 @@
         let want = FetchWant { version, mark, from: from.to_owned(), origin: VersionOrigin::Found };
         let is_stale = self.freshness.borrow().is_stale(self.start.elapsed());
         let grace = match self.options.mode {
-            // Nobody near sees the source, so no tree will come from there.
+            // No daemon of this data centre reaches the source, so no tree will deliver the
+            // version.
             _ if is_stale => Duration::ZERO,
             PassMode::Push => PUSH_GRACE,
             PassMode::Announce => ANNOUNCE_GRACE,
@@ -97,8 +101,8 @@
         version > self.held.newest_mark().0 && !self.held.is_refused(version, mark)
     }
 
-    /// Fetches what a peer holds beyond what is held here. With `confirm` the peer looks at the
-    /// configuration source first, if it is a relay.
+    /// Fetches a peer's version if it is newer. With `confirm` a peer that is a relay reads the
+    /// configuration source first.
     pub(crate) async fn fetch(
         self: &Rc<Self>,
         from: &str,
@@ -171,15 +175,15 @@
     }
 }
 
-/// Fetches wanted versions, one at a time.
+/// Runs queued fetches, one at a time.
 pub(crate) async fn fetch_wanted(node: &Rc<SpreadNode>, mut wants: mpsc::Receiver<FetchWant>) {
     while let Some(want) = wants.recv().await {
         fetch_version(node, want).await;
     }
 }
 
-/// Tries until the version is held: first where it was seen, then at other daemons near, as the
-/// first one may have died since.
+/// Retries until the version is held: first at the peer that holds it, then at random daemons of
+/// the data centre, as the first peer may have died since.
 async fn fetch_version(node: &Rc<SpreadNode>, want: FetchWant) {
     let mut pause = RetryPause::new(FIRST_PAUSE, LONGEST_PAUSE);
     let mut from = want.from;
@@ -202,7 +206,7 @@
 }
 
 impl SpreadNode {
-    /// Draws another daemon of this data centre, or of any where it is alone there.
+    /// Picks a random other daemon of this data centre, or of any data centre if there is none.
     fn pick_near(&self) -> Option<ProxyId> {
         let data_centre = &self.members.own().data_centre;
         let others = self.others();
--- a/components/spread/src/gate.rs
+++ b/components/spread/src/gate.rs
@@ -1,4 +1,6 @@
-//! What a daemon gives to anyone who connects.
+//! Server side of the `Gate` interface, which any process that connects can call. It gives access
+//! to the `Peer` interface only in exchange for a proof of the shared secret, so that foreign
+//! processes can neither read nor change anything.
 
 use std::{
     cell::RefCell,
@@ -19,17 +21,17 @@
     session::{PeerSession, SessionLink},
 };
 
-/// The connection that a gate stands in, and whom to tell that its peer is proven.
+/// The connection that a gate server belongs to, and the channel that reports its authentication.
 struct GateLink {
     link: SessionLink,
     allowance: Arc<ByteAllowance>,
     proven: oneshot::Sender<()>,
 }
 
-/// The capability that anyone who connects gets: it gives the peer interface against a proof.
+/// Answers an unauthenticated connection and exchanges the `Peer` interface for a valid proof.
 pub(crate) struct GateServer {
     node: Weak<SpreadNode>,
-    // Used once: a proof for it cannot be replayed in the same session either.
+    // Taken by the first attempt, so that a proof cannot be replayed in the same session either.
     nonce: RefCell<Option<Nonce>>,
     link: RefCell<Option<GateLink>>,
 }
@@ -39,7 +41,8 @@
         Self { node: Rc::downgrade(node), nonce: RefCell::default(), link: RefCell::default() }
     }
 
-    /// Ties the gate to its connection and gives what resolves when the peer is proven.
+    /// Assigns the gate to its connection and returns a receiver that resolves once the peer has
+    /// authenticated.
     pub(crate) fn attach(
         &self,
         link: SessionLink,
@@ -80,7 +83,7 @@
         }
         let gate_link = self.link.take().ok_or_else(|| Error::failed("entered".to_owned()))?;
         gate_link.allowance.lift();
-        // Its receiver is gone only where the time for the proof has just run out.
+        // The receiver is gone only if the time for authentication has just run out.
         let _ = gate_link.proven.send(());
         let session = PeerSession::new(proxy, params.get_peer()?, gate_link.link);
         let server = PeerServer::new(&node);
--- a/components/spread/src/held.rs
+++ b/components/spread/src/held.rs
@@ -1,4 +1,6 @@
-//! The configuration a daemon holds.
+//! The configuration that a daemon holds: the version in force, and the newest valid version
+//! before the daemon is ready. Versions are swapped as a whole and never replaced by an older one,
+//! so that routes never move back and never mix two versions.
 
 use std::{
     collections::VecDeque,
@@ -11,52 +13,54 @@
 
 use crate::marks::{RootMark, root_mark};
 
-/// Earlier snapshots kept as bases for deltas. Subtrees are shared, so each costs one root.
+/// Number of earlier snapshots kept as bases for deltas. Subtrees are shared, so each costs one
+/// root.
 const KEPT_BASES: usize = 16;
 
-/// What the daemon holds and how it came by it.
+/// The version in force and where it came from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeldStatus {
     /// Version in force.
     pub version: Version,
-    /// Since when, on this daemon's clock.
+    /// When the version came into force, on this daemon's clock.
     pub since: UnixMillis,
-    /// The daemon it came from, or `platform`.
+    /// The daemon that the version came from, or `platform`.
     pub source: ProxyId,
-    /// The newest version refused, if newer than the one in force.
+    /// The newest rejected version, if it is newer than the one in force.
     pub rejected: Option<RejectedVersion>,
 }
 
-/// What became of an offered snapshot.
+/// Result of offering a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OfferOutcome {
-    /// It is the newest now, and in force as soon as the daemon is ready.
+    /// The snapshot is the newest one now, and in force as soon as the daemon is ready.
     Applied,
-    /// The held one is as new or newer.
+    /// The held version is as new or newer.
     NotNewer,
-    /// Another content under the version held. One of the two was never accepted.
+    /// The snapshot has different content under the held version; one of the two was never
+    /// accepted.
     Diverged,
-    /// It fails validation and nothing of it is in force.
+    /// The snapshot fails validation, and no part of it is in force.
     Rejected(RejectedVersion),
 }
 
-/// Snapshots by age, and the one that waits for readiness.
+/// Earlier snapshots by age, and the newest one, which may wait for readiness.
 #[derive(Default)]
 struct HeldState {
     bases: VecDeque<Arc<ConfigSnapshot>>,
     newest: Arc<ConfigSnapshot>,
-    /// Mark of the newest one's root; heartbeats carry it several times a second.
+    /// Hash prefix of the newest root, kept because heartbeats send it several times a second.
     newest_mark: RootMark,
     source: ProxyId,
-    /// The version refused last.
+    /// Version and root hash prefix of the last rejected snapshot.
     refused: Option<(Version, RootMark)>,
 }
 
-/// The configuration in force, swapped whole, and never for an older one.
+/// The configuration in force, swapped as a whole and never for an older one.
 ///
-/// Until the daemon is ready nothing is in force. A process that returns would otherwise serve
-/// whatever a peer gave it first, which may be older than what its predecessor served; callers
-/// would see routes move back.
+/// Nothing is in force until the daemon is ready. A restarted process would otherwise serve the
+/// first version that a peer sends, which may be older than the one its predecessor served, and
+/// callers would see routes move back.
 pub struct HeldConfig {
     current: ArcSwap<ConfigSnapshot>,
     state: Mutex<HeldState>,
@@ -77,49 +81,50 @@
 }
 
 impl HeldConfig {
-    /// Makes one that holds the empty configuration and is not ready.
+    /// Creates a holder of the empty configuration that is not ready.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Gives the configuration in force: the empty one until the daemon is ready.
+    /// Returns the configuration in force: the empty one until the daemon is ready.
     pub fn current(&self) -> Arc<ConfigSnapshot> {
         self.current.load_full()
     }
 
-    /// Gives the newest valid configuration known, in force or waiting for readiness.
+    /// Returns the newest valid configuration, in force or waiting for readiness.
     pub fn newest(&self) -> Arc<ConfigSnapshot> {
         self.state().newest.clone()
     }
 
-    /// Gives the newest version with the mark of its root.
+    /// Returns the newest version and the hash prefix of its root.
     pub(crate) fn newest_mark(&self) -> (Version, RootMark) {
         let state = self.state();
         (state.newest.version(), state.newest_mark)
     }
 
-    /// Gives the status as of now.
+    /// Returns the current status.
     pub fn status(&self) -> HeldStatus {
         self.status.borrow().clone()
     }
 
-    /// Gives a receiver that wakes on each change of the status.
+    /// Returns a receiver that is notified of each change of the status.
     pub fn subscribe(&self) -> watch::Receiver<HeldStatus> {
         self.status.subscribe()
     }
 
-    /// Tells whether this process may serve: it holds at least the highest version that the
+    /// Returns whether this process may serve: it holds at least the highest version that the
     /// platform or the peers it reached know.
     pub fn is_ready(&self) -> bool {
         *self.ready.borrow()
     }
 
-    /// Gives a receiver that wakes when the daemon becomes ready. It never becomes unready.
+    /// Returns a receiver that is notified when the daemon becomes ready. Readiness is never
+    /// withdrawn.
     pub fn ready(&self) -> watch::Receiver<bool> {
         self.ready.subscribe()
     }
 
-    /// Puts the newest configuration in force; from now on each newer one is at once.
+    /// Puts the newest configuration in force at `now`; later ones come into force as they arrive.
     pub fn set_ready(&self, now: UnixMillis) {
         let state = self.state();
         if self.is_ready() {
@@ -131,15 +136,16 @@
         self.ready.send_replace(true);
     }
 
-    /// Gives an earlier configuration by version, where it is still kept.
+    /// Returns an earlier configuration by version, if it is still kept.
     pub fn base(&self, version: Version) -> Option<Arc<ConfigSnapshot>> {
         self.state().bases.iter().find(|base| base.version() == version).cloned()
     }
 
-    /// Takes a snapshot if it is newer and valid, whole or not at all.
+    /// Accepts a snapshot as a whole if it is newer and valid, and rejects it as a whole
+    /// otherwise.
     pub fn offer(&self, snapshot: ConfigSnapshot, source: &str, now: UnixMillis) -> OfferOutcome {
-        // The lock makes the comparison and the swap one step: of two snapshots offered at once
-        // by different peers, the older one must not land last.
+        // The lock makes comparison and swap one step: of two snapshots offered at once by
+        // different peers, the older one must not be stored last.
         let mut state = self.state();
         let version = snapshot.version();
         if version == state.newest.version() && snapshot.root != state.newest.root {
@@ -165,8 +171,8 @@
         OfferOutcome::Applied
     }
 
-    /// Tells whether this very version was refused before. Peers that have not met its fault yet
-    /// go on offering it; fetching it each time would cost the whole version again and again.
+    /// Returns whether this very version was rejected before. Peers that have not detected its
+    /// fault yet go on offering it, and each fetch would transfer the whole version again.
     pub(crate) fn is_refused(&self, version: Version, mark: RootMark) -> bool {
         self.state().refused == Some((version, mark))
     }
@@ -181,7 +187,7 @@
         let rejected = RejectedVersion { version, reason };
         state.refused = Some((version, root_mark(&snapshot.root.hash())));
         self.status.send_if_modified(|status| {
-            // Of two refused versions the report names the newer one, in whichever order they came.
+            // The report names the newest rejected version, in whichever order they arrive.
             let is_newer = status.rejected.as_ref().is_none_or(|held| held.version < version);
             if is_newer {
                 status.rejected = Some(rejected.clone());
--- a/components/spread/src/join.rs
+++ b/components/spread/src/join.rs
@@ -1,4 +1,7 @@
-//! Finding the fleet: through seeds in the settings and contacts kept in the platform.
+//! Joining the fleet through the seeds in the settings and the contacts stored in the platform.
+//! Daemons that never meet would each hold their own view of members and servers, so joining is
+//! retried until another daemon is known, and addresses outside the fleet's view are tried from
+//! time to time.
 
 use std::{collections::BTreeSet, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -13,26 +16,27 @@
     node::{CALL_TIMEOUT, SpreadNode},
 };
 
-/// Addresses tried at once. Lists may name a whole fleet; a few that answer are enough.
+/// Maximum number of addresses tried at once. Lists may name a whole fleet; a few that answer are
+/// enough.
 const MAX_ADDRESSES: usize = 8;
 /// First and longest pause between tries while no other daemon is known.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
 const LONGEST_PAUSE: Duration = Duration::from_secs(2);
-/// Mean pause between tries of addresses that are not known as members. After a long cut two
-/// halves of a fleet may each have forgotten the other; this finds it again.
+/// Mean pause between tries of addresses that belong to no present member. After a long network
+/// partition each half of a fleet may have forgotten the other; these tries reunite them.
 const STRANGER_PAUSE: Duration = Duration::from_secs(15);
-/// Shortest pause between writes of contacts, per relay.
+/// Shortest pause between updates of the contacts by one relay.
 const CONTACT_PAUSE: Duration = Duration::from_secs(10);
-/// The same while this daemon knows no other one: it may stand beside others that start too.
+/// The same while this daemon knows no other one, as others may be starting at the same time.
 const LONELY_PAUSE: Duration = Duration::from_secs(2);
-/// Contacts kept for each data centre. Some of them outlive any failure short of the loss of the
-/// data centre, and reading them all stays one small call.
+/// Number of contacts stored per data centre. Some of them outlive any failure short of the loss
+/// of the data centre, and reading them all stays one small call.
 const MAX_CONTACTS: usize = 8;
 
-/// How far joining has come.
+/// Progress of joining the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum JoinStage {
-    /// No address was tried yet.
+    /// No address has been tried yet.
     Trying,
     /// There is no address to try.
     Alone,
@@ -42,7 +46,8 @@
     Met,
 }
 
-/// Looks for other daemons while none is known, and now and then for strangers.
+/// Joins the fleet while no other daemon is known, and afterwards tries addresses of non-members
+/// from time to time.
 pub(crate) async fn join_fleet(node: &Rc<SpreadNode>, stage: &watch::Sender<JoinStage>) {
     let mut pause = RetryPause::new(FIRST_PAUSE, LONGEST_PAUSE);
     loop {
@@ -66,7 +71,7 @@
             false => JoinStage::Unreached,
         });
         if !is_met {
-            // Another daemon may come to know this one meanwhile, which ends the wait too.
+            // The wait also ends when another daemon joins this one meanwhile.
             let mut views = node.members.subscribe();
             let met = views.wait_for(|view| view.len() > 1);
             let _ = tokio::time::timeout(pause.next(), met).await;
@@ -91,7 +96,7 @@
     }
 }
 
-/// Tries a few of the addresses at once and tells whether any answered.
+/// Tries a random few of the addresses at once and returns whether any answered.
 async fn try_addresses(node: &Rc<SpreadNode>, addresses: &BTreeSet<SocketAddr>) -> bool {
     let chosen = addresses.iter().copied().sample(&mut rand::rng(), MAX_ADDRESSES);
     let results = join_all(chosen.into_iter().map(|address| meet(node, address))).await;
@@ -108,7 +113,7 @@
     result.unwrap_or_else(|_| Err(Error::overloaded("join timed out".to_owned())))
 }
 
-/// Tries one address that belongs to no present member.
+/// Tries one random seed or former member that is not a present member.
 async fn meet_strangers(node: &Rc<SpreadNode>) {
     let view = node.view();
     let is_present = |address: &SocketAddr| {
@@ -124,13 +129,13 @@
     }
 }
 
-/// Keeps the contacts of this data centre fresh while this daemon is a relay.
+/// Keeps the contacts of this data centre up to date while this daemon is a relay.
 ///
-/// Made for a fleet that restarts all at once at new addresses: its seeds and its contacts are all
-/// stale, and the daemons know nothing. Each relay reads the contacts before it writes its own,
-/// and a write fails where another came between; so of any two that start apart, the second
-/// reads the first one's address and meets it. Reads are one per relay and pause, writes happen on
-/// change only: neither grows with the fleet.
+/// Contacts reunite a fleet that restarts all at once at new addresses: its seeds and contacts are
+/// stale, and no daemon knows another. Each relay reads the contacts before it writes its own, and
+/// a write fails if another relay wrote in between. So of any two daemons that start apart, the
+/// second reads the first one's address and joins it. A relay reads once per pause and writes on
+/// change only, so neither grows with the fleet.
 pub(crate) async fn keep_contacts(node: &Rc<SpreadNode>) {
     let Some(book) = node.contacts.clone() else { return };
     let mut relays = node.relays.subscribe();
@@ -168,9 +173,9 @@
     }
 }
 
-/// Gives the contacts that should be kept: those kept already that are still members, filled up
-/// with relays and then others. Kept ones come first, so that a change costs a write only where a
-/// contact is lost.
+/// Returns the contacts to store: those stored already that are still members, filled up with
+/// relays and then with other members. Stored ones come first, so that only the loss of a contact
+/// causes a write.
 fn wanted_contacts(node: &SpreadNode, seen: &[SocketAddr]) -> Vec<SocketAddr> {
     let own = node.members.own();
     let view = node.view();
--- a/components/spread/src/lib.rs
+++ b/components/spread/src/lib.rs
@@ -1,7 +1,7 @@
-//! Passing configuration and membership between daemons.
+//! Distributes configuration versions and membership records between daemons.
 //!
-//! Control traffic runs over capnp-rpc on a thread of its own; the request path never waits for it.
-//! `docs/design/spreading.md` tells how versions and records travel and why.
+//! Control traffic runs over capnp-rpc on its own thread, so that requests never wait for it.
+//! `docs/design/spreading.md` describes how versions and records travel and why.
 
 mod ack_batch;
 mod acks;
--- a/components/spread/src/link_board.rs
+++ b/components/spread/src/link_board.rs
@@ -1,4 +1,4 @@
-//! The links of a daemon and what is decided over them.
+//! The links of a daemon, with the liveness monitor and the rumor queues that work over them.
 
 use std::{cell::Cell, collections::BTreeMap, rc::Rc, time::Duration};
 
@@ -10,11 +10,11 @@
 
 /// One link of this daemon.
 pub(crate) struct LinkState {
-    /// Wakes the link's task for news, or because the link was removed.
+    /// Wakes the link's task for rumors, or because the link was removed.
     pub(crate) news: Notify,
     /// Whether this side opens the connection and sends the heartbeats.
     pub(crate) is_chosen: bool,
-    /// Whether a heartbeat is to be sent now, whichever side sends them otherwise.
+    /// Whether to send a heartbeat now, even if the other side usually sends them.
     pub(crate) wants_beat: Cell<bool>,
 }
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// The links and what is decided over them.
+/// All links, the liveness monitor and the rumor queues.
 pub(crate) struct LinkBoard {
     pub(crate) rumors: RumorQueue,
     pub(crate) monitor: LivenessMonitor,
@@ -37,18 +37,19 @@
         Self { rumors: RumorQueue::new(), monitor, links: BTreeMap::new(), start: Instant::now() }
     }
 
-    /// Gives the time on the monitor's clock.
+    /// Returns the time on the monitor's clock.
     pub(crate) fn now(&self) -> Duration {
         self.start.elapsed()
     }
 
-    /// Lets the monitor decide what is due.
+    /// Runs the monitor and returns the events that are due.
     pub(crate) fn tick(&mut self, view: &MemberView) -> Vec<MonitorEvent> {
         let now = self.now();
         self.monitor.tick(view, now)
     }
 
-    /// Notes an observer's word and passes it on if it was new.
+    /// Passes an observer's suspicion to the monitor, and queues it for the other links if it is
+    /// new.
     pub(crate) fn note_word(&mut self, word: MemberSuspicion, from: &ProxyId) {
         let now = self.now();
         if self.monitor.note(word.clone(), now) {
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Has a heartbeat sent over every link at once.
+    /// Requests a heartbeat over every link at once.
     pub(crate) fn send_beats(&self) {
         for link in self.links.values() {
             link.wants_beat.set(true);
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Queues news for every link but the one they came by.
+    /// Queues a rumor for every link except the one it came from.
     pub(crate) fn push(&mut self, rumor: &MemberRumor, from: Option<&ProxyId>) {
         self.rumors.push(rumor, from);
         for (proxy, link) in &self.links {
--- a/components/spread/src/links.rs
+++ b/components/spread/src/links.rs
@@ -1,4 +1,6 @@
-//! Links to the neighbours: heartbeats, and records passed on as they change.
+//! Links to the neighbours in the overlay: heartbeats, and rumors (changed records and suspicions)
+//! sent as they arise. Without links every change would have to wait for a periodic
+//! reconciliation.
 
 use std::{
     collections::BTreeSet,
@@ -20,18 +22,19 @@
     state::CallKind,
 };
 
-/// Pause before links are planned again after members changed. A herd restart changes them
+/// Pause before links are planned again after members changed. A fleet restart changes them
 /// hundreds of times a second, and a plan for 780 daemons takes milliseconds.
 const PLAN_PAUSE: Duration = Duration::from_millis(250);
-/// Pause in which news gather before they are sent. A hop then takes about as long, and the six
-/// to eight hops of a large fleet stay far below the 3 s in which a change is to be known.
+/// Time in which rumors are batched before they are sent. One hop then takes about as long, and
+/// the 6 to 8 hops of a large fleet stay far below the 3 s within which a change must be known.
 const RUMOR_PAUSE: Duration = Duration::from_millis(25);
-/// News in one message; about 16 kB.
+/// Maximum number of rumors in one message; about 16 kB.
 const MAX_RUMORS: usize = 64;
-/// Heartbeats in a row that show another digest before records are compared. News under way make
-/// digests differ for a moment; comparing at once would send the same records twice.
+/// Consecutive heartbeats with a different digest before records are reconciled. Rumors in transit
+/// make digests differ for a moment, and an immediate reconciliation would send the same records
+/// twice.
 const MAX_MISMATCHES: u32 = 2;
-/// Age in a heartbeat of a daemon that knows none.
+/// Wire value of the source's age in a heartbeat if the sender does not know it.
 const NO_AGE: u32 = u32::MAX;
 
 impl SpreadNode {
@@ -39,7 +42,7 @@
         self.links.borrow().links.keys().cloned().collect()
     }
 
-    /// Notes that the connection to a peer ended without this side's wish.
+    /// Reports to the monitor that the connection to a peer ended without this side closing it.
     pub(crate) fn note_lost(&self, proxy: &str) {
         let mut board = self.links.borrow_mut();
         let now = board.now();
@@ -66,8 +69,8 @@
         }
     }
 
-    /// Notes what a peer's heartbeat says, and tells whether its records are the same.
-    /// `written_after` is a moment before the peer wrote it, as late as is known.
+    /// Handles a peer's heartbeat and returns whether its records are the same as here.
+    /// `written_after` is the latest known moment before the peer wrote it.
     pub(crate) fn take_beat(
         self: &Rc<Self>,
         proxy: &str,
@@ -80,8 +83,10 @@
         beat.get_members() == self.member_mark()
     }
 
-    /// Takes over the peer's word from the source. It says that a version was the newest one, so it
-    /// holds here too where that version or a later one is held.
+    /// Adopts a peer's freshness proof. It says that the peer's version was the newest one, so it
+    /// also holds here if that version or a later one is held. The heartbeat's `looker` is the
+    /// hashed name of the daemon that read the source, and `history` the position in the source's
+    /// history known to it.
     fn take_proof(&self, beat: beat::Reader<'_>, written_after: Instant) {
         let age = Duration::from_millis(beat.get_source_age_millis().into());
         let is_known = beat.get_source_age_millis() != NO_AGE;
@@ -100,15 +105,15 @@
     }
 }
 
-/// Plans the links again whenever members come or go.
+/// Plans the links again whenever members join or leave.
 pub(crate) async fn keep_links(node: &Rc<SpreadNode>) {
     let mut views = node.members.subscribe();
     let mut planned = None;
     loop {
         let view = views.borrow_and_update().clone();
         let mark = Some(presence_mark(&view));
-        // A daemon that leaves is in nobody's plan, its own included. It keeps its links, over which
-        // the news of its leaving may still be under way.
+        // A leaving daemon is in no plan, including its own. It keeps its links, which may still
+        // have to carry the rumor of its leaving.
         if planned != mark && node.members.own().is_present() {
             planned = mark;
             plan_links(node, &view);
@@ -120,7 +125,7 @@
     }
 }
 
-/// Tells apart views whose plans may differ.
+/// Hashes the parts of a view that determine the plan of the links.
 fn presence_mark(view: &MemberView) -> u64 {
     let mut hasher = DefaultHasher::new();
     for record in view.values().filter(|record| record.is_present()) {
@@ -165,7 +170,7 @@
         let board = node.links.borrow();
         board.links.get(&proxy).is_some_and(|held| Rc::ptr_eq(held, &link))
     };
-    // What was learnt before the link began is in nobody's queue for it.
+    // Rumors from before the link's start are in no queue for it.
     let mut needs_repair = link.is_chosen;
     let mut mismatches = 0;
     let mut next_beat = Instant::now();
@@ -186,7 +191,8 @@
             needs_repair = node.call(&proxy, CALL_TIMEOUT, call).await.is_err();
             mismatches = 0;
         }
-        // A link that the other side drives, and that has nothing to repair, waits for news only.
+        // A link whose heartbeats the other side sends, and that needs no repair, waits for rumors
+        // only.
         let is_idle = !link.is_chosen && !needs_repair;
         let due = Instant::now() + node.options.heartbeat;
         tokio::select! {
@@ -197,7 +203,7 @@
     }
 }
 
-/// Sends a heartbeat and tells whether the peer's records are the same.
+/// Sends a heartbeat and returns whether the peer's records are the same.
 async fn send_beat(node: &Rc<SpreadNode>, proxy: &str) -> Result<bool, Error> {
     let call = async |peer: peer::Client| {
         let mut request = peer.beat_request();
@@ -212,8 +218,8 @@
     node.call(proxy, CALL_TIMEOUT, call).await
 }
 
-/// A refused or reset connection says at once that the process ended; of a call that took too
-/// long, the monitor learns by the silence.
+/// Reports a failed heartbeat to the monitor if the connection was refused or reset, which shows
+/// at once that the process ended. After a timeout the monitor detects the silence itself.
 fn note_failed(node: &SpreadNode, proxy: &str, err: &Error) {
     log::debug!("spread: heartbeat to {proxy} failed: {err}.");
     if err.kind == ErrorKind::Disconnected {
--- a/components/spread/src/marks.rs
+++ b/components/spread/src/marks.rs
@@ -1,13 +1,14 @@
-//! Marks by which daemons compare what they hold.
+//! Short prefix of a root hash, which heartbeats carry instead of the whole hash so that daemons
+//! can compare their contents.
 
 use sk_model::ContentHash;
 
-/// First bytes of a root's hash: enough to notice that two daemons hold different contents.
+/// First 8 bytes of a root's hash: enough to detect that two daemons hold different contents.
 pub(crate) type RootMark = u64;
 
-/// Gives the mark of a root's hash.
+/// Returns the prefix of a root's hash. On the wire it is `rootHash` or `heldMark`.
 pub(crate) fn root_mark(hash: &ContentHash) -> RootMark {
-    // The first 16 digits of a hexadecimal SHA-256 always fit; a malformed hash matches nothing
-    // that it could be mistaken for.
+    // The first 16 digits of a hexadecimal SHA-256 always fit. A malformed hash yields 0, which
+    // equals no other hash's prefix in practice.
     hash.get(..16).and_then(|digits| u64::from_str_radix(digits, 16).ok()).unwrap_or_default()
 }
--- a/components/spread/src/neighbours.rs
+++ b/components/spread/src/neighbours.rs
@@ -1,4 +1,5 @@
-//! Carrying out what the liveness monitor decides.
+//! Applies the decisions of the liveness monitor: suspicions, daemons declared gone, and the
+//! recovery after a pause of this process.
 
 use std::{rc::Rc, time::Duration};
 
@@ -7,12 +8,12 @@
 
 use crate::{connect::sweep_sessions, node::SpreadNode};
 
-/// Time between looks at what the monitor has to decide.
+/// Time between runs of the monitor.
 const TICK_PAUSE: Duration = Duration::from_millis(200);
-/// Time between looks for records that may be forgotten.
+/// Time between removals of expired records.
 const EXPIRE_PAUSE: Duration = Duration::from_secs(5);
 
-/// Lets the monitor decide, and does what it asks.
+/// Runs the monitor periodically and applies its events.
 pub(crate) async fn watch_neighbours(node: &Rc<SpreadNode>) {
     let mut last_expiry = Instant::now();
     loop {
--- a/components/spread/src/news.rs
+++ b/components/spread/src/news.rs
@@ -1,4 +1,5 @@
-//! Records and observers' words on their way between daemons.
+//! Exchange of rumors between daemons: changed member records, and observers' suspicions of failed
+//! members.
 
 use std::{collections::BTreeSet, rc::Rc, sync::Arc};
 
@@ -12,7 +13,7 @@
 use crate::{codec, node::SpreadNode, peer_capnp::peer, state::CallKind};
 
 impl SpreadNode {
-    /// Merges news from a peer and passes on what was new.
+    /// Merges rumors from a peer and queues the new ones for the other links.
     pub(crate) fn merge_news(
         &self,
         records: Vec<MemberRecord>,
@@ -31,8 +32,8 @@
         }
     }
 
-    /// Merges records and gives those that were new. The own record, raised to answer one, is
-    /// passed on by `pass_own_record`.
+    /// Merges records and returns those that were new. The own record, if it was raised to refute
+    /// one, is sent by `send_own_record`.
     fn merge_records(&self, records: Vec<MemberRecord>) -> Vec<Arc<MemberRecord>> {
         let own = &self.own_name;
         let merge = |table: &mut MemberTable| {
@@ -54,7 +55,8 @@
         self.members.update(merge, |(newer, is_refuted)| !newer.is_empty() || *is_refuted).0
     }
 
-    /// Compares records with a peer over an open connection and evens them out both ways.
+    /// Compares record digests with a peer over an open connection, and exchanges the records that
+    /// differ in both directions.
     pub(crate) async fn reconcile(
         self: &Rc<Self>,
         proxy: &ProxyId,
@@ -109,7 +111,7 @@
     }
 }
 
-/// Writes a line where a daemon came, came again or changed what it takes.
+/// Logs when a daemon joins, restarts, or changes its status or backend servers.
 fn note_change(held: Option<&MemberRecord>, record: &MemberRecord) {
     let is_newer = held.is_none_or(|held| record.rank() > held.rank());
     let is_same = held.is_some_and(|held| {
@@ -133,7 +135,7 @@
     );
 }
 
-/// Passes the own record on as soon as it changes.
+/// Queues the own record for every link as soon as it changes.
 pub(crate) async fn pass_own_record(node: &Rc<SpreadNode>) {
     let mut views = node.members.subscribe();
     let mut known = node.members.own();
--- a/components/spread/src/node.rs
+++ b/components/spread/src/node.rs
@@ -1,4 +1,4 @@
-//! What the parts of the control thread share.
+//! State shared by the tasks of the control thread.
 
 use std::{
     cell::{Cell, RefCell},
@@ -27,17 +27,17 @@
     state::SpreadStats,
 };
 
-/// Name under which the configuration source appears in reports.
+/// Name of the configuration source in reports of where a version came from.
 pub(crate) const PLATFORM: &str = "platform";
-/// Time without a byte from a peer until a call to it counts as failed. Answers begin within
-/// milliseconds; a paused peer must not hold up for long what another one could answer.
+/// Time without a byte from a peer after which a call to it fails. Answers begin within
+/// milliseconds; a longer wait for a paused peer delays what another peer can answer.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What the parts of the control thread share. Used by that thread only.
+/// State shared by the tasks of the control thread, and used on that thread only.
 pub(crate) struct SpreadNode {
     pub(crate) options: SpreadOptions,
     pub(crate) own_name: ProxyId,
-    /// From where times of proofs count.
+    /// Origin of the times in freshness proofs.
     pub(crate) start: Instant,
     pub(crate) held: Arc<HeldConfig>,
     pub(crate) members: Arc<MemberBoard>,
@@ -51,25 +51,25 @@
     pub(crate) meter: Arc<ControlMeter>,
     pub(crate) stats: Arc<SpreadStats>,
     pub(crate) pool: PeerPool,
-    /// Connections that peers opened and that have proved nothing yet.
+    /// Number of connections opened by peers that have not authenticated yet.
     pub(crate) unproven: Cell<usize>,
     pub(crate) relays: watch::Sender<RelayView>,
     pub(crate) links: RefCell<LinkBoard>,
-    /// Places for fetches served at once.
+    /// Limits the fetches served at once.
     pub(crate) places: Arc<Semaphore>,
     pub(crate) passes: mpsc::UnboundedSender<PassOrder>,
     pub(crate) wants: mpsc::Sender<FetchWant>,
     pub(crate) confirms: mpsc::UnboundedSender<oneshot::Sender<ConfirmOutcome>>,
-    /// The last push along a tree.
+    /// Version and origin of the last push received along a tree.
     pub(crate) last_push: RefCell<Option<(Version, VersionOrigin)>>,
-    /// Newest version announced after a pause.
+    /// Newest version announced after a delay.
     pub(crate) announced: Cell<Version>,
-    /// Version that a late fetch waits for already.
+    /// Version for which a delayed fetch is scheduled already; zero for none.
     pub(crate) expected: Cell<Version>,
 }
 
 impl SpreadNode {
-    /// Lists the records of the other members believed reachable.
+    /// Lists the records of all other members that are believed reachable.
     pub(crate) fn others(&self) -> Vec<Arc<MemberRecord>> {
         let view = self.members.view();
         let is_other = |record: &&Arc<MemberRecord>| record.proxy != self.own_name;
@@ -80,7 +80,7 @@
         self.members.view()
     }
 
-    /// Offers a version; a newer one is passed on.
+    /// Offers a version to the held configuration, and queues it for forwarding if it is newer.
     pub(crate) fn offer(
         &self,
         snapshot: ConfigSnapshot,
@@ -106,18 +106,18 @@
         outcome
     }
 
-    /// Notes a push along a tree and tells whether it is the first of that version there. A second
-    /// one comes only where a parent took this daemon for failed.
+    /// Records a push along a tree and returns whether it is the first of that version there. A
+    /// second one arrives only if a parent took this daemon for failed.
     pub(crate) fn note_push(&self, version: Version, origin: &VersionOrigin) -> bool {
         let push = Some((version, origin.clone()));
         self.last_push.replace(push.clone()) != push
     }
 
-    /// Passes a version on that was held before it was pushed here.
+    /// Forwards a version that this daemon already held when it was pushed here.
     ///
-    /// The second relay of a data centre sees each version in the platform itself and stands
-    /// inside the first one's tree. If it took the push for done, its children there would hold
-    /// the version only after its own announcement, some 300 ms later than all others.
+    /// The second relay of a data centre receives each version from the platform itself and is an
+    /// inner node of the first relay's tree. If it ignored the push, its children there would get
+    /// the version only from its own announcement, about 300 ms after all others.
     pub(crate) fn pass_along(
         &self,
         base: Version,
@@ -133,35 +133,35 @@
         let _ = self.passes.send(PassOrder { base, newest, origin });
     }
 
-    /// Says that a peer holds another content under a version held here. Two histories under one
-    /// prefix cannot both be the accepted one; only an operator can tell which is.
+    /// Reports that a peer holds different content under a version held here. Of two histories
+    /// under one prefix only one was accepted, and only an operator can decide which.
     pub(crate) fn report_diverged(&self, version: Version, peer: &str) {
         if self.stats.note_diverged(version) {
             log::error!("spread: {peer} holds another content under version {version}.");
         }
     }
 
-    /// Notes that this daemon itself saw at `seen_at` that the source had nothing newer.
+    /// Records that this daemon itself found nothing newer at the source at `seen_at`.
     pub(crate) fn note_seen(&self, seen_at: Instant) {
         let seen_at = seen_at.saturating_duration_since(self.start);
         let looker = self.freshness.borrow().own();
         self.note_proof(FreshnessProof { looker, seen_at, history: self.source.history() });
     }
 
-    /// Notes a proof that what is held here was the newest version.
+    /// Records a proof that the version held here was the newest one.
     pub(crate) fn note_proof(&self, proof: FreshnessProof) {
         self.freshness.borrow_mut().offer(proof, self.start.elapsed());
         self.stats.note_source_seen(self.start + proof.seen_at);
     }
 
-    /// Looks at the configuration source, together with all others that ask meanwhile.
+    /// Reads the configuration source once for all callers that ask during the same batch.
     pub(crate) async fn confirm(&self) -> ConfirmOutcome {
         let (answer, answered) = oneshot::channel();
         let _ = self.confirms.send(answer);
         answered.await.unwrap_or(ConfirmOutcome::Away)
     }
 
-    /// Puts the newest version in force for the first time.
+    /// Puts the newest version in force for the first time and logs `how` it was confirmed.
     pub(crate) fn set_ready(&self, how: &str) {
         if !self.held.is_ready() {
             let version = self.held.newest().version();
--- a/components/spread/src/notices.rs
+++ b/components/spread/src/notices.rs
@@ -1,4 +1,5 @@
-//! News of the request path, flooded over the links.
+//! Floods notices about requests over the links, so that every daemon refuses a request that
+//! crashes servers before it reaches another server.
 
 use std::{collections::BTreeSet, rc::Rc, time::Duration};
 
@@ -11,14 +12,14 @@
     state::CallKind,
 };
 
-/// Time between looks for news. A hop takes half of it on average and a large fleet has six to
-/// eight, so that a request that crashes servers is known everywhere in about a second.
+/// Time between checks for new notices. A hop takes half of it on average and a large fleet has 6
+/// to 8 hops, so a request that crashes servers is known everywhere in about a second.
 const LOOK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Passes news on to every link, and everything to a link that is new.
+/// Sends changed notices to every link, and all notices to a new link.
 ///
-/// Without the second part, a daemon that starts would let a request run that all others already
-/// refuse, and its server would be the next to crash.
+/// Without the latter, a daemon that starts would run a request that all others already refuse,
+/// and its server would be the next to crash.
 pub(crate) async fn pass_notices(node: &Rc<SpreadNode>) {
     let Some(notices) = node.notices.clone() else { return };
     let (mut seen, mut known) = (0, BTreeSet::new());
@@ -42,8 +43,8 @@
     }
 }
 
-/// Sends news to some links and gives those that took it. One that did not is new again once the
-/// link is back, since a link that fails is planned anew.
+/// Sends notices to some links and returns those that accepted them. A link that failed counts as
+/// new again once it is planned anew.
 async fn send_all(node: &Rc<SpreadNode>, links: &BTreeSet<ProxyId>, body: &[u8]) -> Vec<ProxyId> {
     let calls = links.iter().map(async |proxy| {
         let call = async |peer: peer::Client| {
--- a/components/spread/src/options.rs
+++ b/components/spread/src/options.rs
@@ -1,59 +1,63 @@
-//! How the spread behaves.
+//! Options of the control thread: how versions are forwarded, which daemons watch the
+//! configuration source, and the time limits that follow from the heartbeat interval.
 
 use std::{net::SocketAddr, time::Duration};
 
 use sk_member::LookOptions;
 
-/// Pause that each daemon leaves to the one before it, before it looks at the source in its place. A
-/// look takes milliseconds, and its success is told at once.
+/// Delay between one standby daemon and the next before each takes over watching the source. One
+/// read of the source takes milliseconds, and its success is sent to the neighbours at once.
 const LOOK_STEP: Duration = Duration::from_millis(100);
 
-/// What a daemon does with a new version.
+/// How a daemon forwards a new version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PassMode {
-    /// Sends the change along the tree: least convergence time.
+    /// Sends the change along the tree; converges fastest.
     #[default]
     Push,
-    /// Sends the version's number and hash; peers fetch what they lack: fewest control bytes.
+    /// Sends the version's number and hash, and peers fetch what they lack; uses the fewest
+    /// control bytes.
     Announce,
 }
 
-/// How the spread behaves.
+/// Options of the control thread.
 #[derive(Clone, Debug)]
 pub struct SpreadOptions {
-    /// Secret shared by the fleet's daemons.
+    /// Secret shared by all daemons of the fleet.
     pub secret: String,
-    /// Control addresses tried for joining.
+    /// Control addresses tried when joining the fleet.
     pub seeds: Vec<SocketAddr>,
     /// Whether changes are pushed or announced.
     pub mode: PassMode,
-    /// Daemons each daemon passes a version to.
+    /// Number of daemons that each daemon forwards a version to.
     pub fan_out: usize,
-    /// Mean time between comparisons with a random member.
+    /// Mean time between reconciliations with a random member.
     pub repair_interval: Duration,
     /// Daemons per data centre that watch the configuration source.
     pub relays: usize,
-    /// Fetches that a daemon serves at once.
+    /// Maximum number of fetches served at once.
     pub max_fetches: usize,
     /// Time between heartbeats over a link.
     pub heartbeat: Duration,
     /// Time without a heartbeat until a neighbour is suspected.
     pub suspect_after: Duration,
-    /// Time over which the daemons of a fleet that starts at once spread their own reads of the
-    /// configuration source, where nobody else has read it for them.
+    /// Window over which daemons that start together spread their own reads of the configuration
+    /// source, unless a relay has read it for them.
     pub start_window: Duration,
 }
 
 impl SpreadOptions {
-    /// Gives the longest wait of one watch at the configuration source. A watch that hears nothing
-    /// proves by its end that nothing newer is there; peers go by that proof, which comes to them
-    /// with heartbeats, so that it need not come much more often.
+    /// Returns the longest wait of one watch call at the configuration source.
+    ///
+    /// A watch that ends without a new version proves that the source has nothing newer. Peers
+    /// receive that proof with heartbeats, so it need not be renewed much more often than those.
     pub fn watch_wait(&self) -> Duration {
         self.heartbeat * 3 / 2
     }
 
-    /// Tells when daemons look at the source in place of others. The limit is the wait of a watch,
-    /// a long pause between two heartbeats (half more than the mean) and half of one as room.
+    /// Returns when daemons take over watching the source from those that fail to. The staleness
+    /// limit is the wait of one watch, one long pause between heartbeats (1.5 times the mean) and
+    /// half a heartbeat interval as margin.
     pub(crate) fn look_options(&self) -> LookOptions {
         let stale_after = self.watch_wait() + self.heartbeat * 2;
         LookOptions { relays: self.relays, stale_after, step: LOOK_STEP }
--- a/components/spread/src/orders.rs
+++ b/components/spread/src/orders.rs
@@ -1,4 +1,4 @@
-//! What the parts of the control thread ask of each other.
+//! Work items and results that the tasks of the control thread pass to each other.
 
 use std::sync::Arc;
 
@@ -6,33 +6,33 @@
 
 use crate::marks::RootMark;
 
-/// How a daemon came by a version.
+/// How a daemon received a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum VersionOrigin {
-    /// It watches the configuration source and saw it there.
+    /// It read the version at the configuration source that it watches.
     Source,
-    /// It was pushed along the tree of `root`.
+    /// The version was pushed along the tree of `root`.
     Pushed {
-        /// The daemon at which the tree begins.
+        /// The daemon at the root of the tree.
         root: ProxyId,
     },
-    /// It was announced along the tree of `root`, and fetched.
+    /// The version was announced along the tree of `root`, and fetched.
     Announced {
-        /// The daemon at which the tree begins.
+        /// The daemon at the root of the tree.
         root: ProxyId,
     },
-    /// It was found by comparison with a peer, or at the start.
+    /// The version was found by reconciliation with a peer, or at the start.
     Found,
 }
 
-/// A version that is to be passed on.
+/// A version to forward, with the base of its change.
 pub(crate) struct PassOrder {
     pub(crate) base: Arc<ConfigSnapshot>,
     pub(crate) newest: Arc<ConfigSnapshot>,
     pub(crate) origin: VersionOrigin,
 }
 
-/// A version to fetch, and from whom.
+/// A version to fetch, and the peer that holds it.
 pub(crate) struct FetchWant {
     pub(crate) version: Version,
     pub(crate) mark: RootMark,
@@ -40,13 +40,13 @@
     pub(crate) origin: VersionOrigin,
 }
 
-/// What a look at the configuration source gave.
+/// Result of a batched read of the configuration source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConfirmOutcome {
     /// The newest accepted version is held.
     Held,
     /// The newest accepted version fails validation here.
     Refused,
-    /// The source is away.
+    /// The source is unreachable.
     Away,
 }
--- a/components/spread/src/pass.rs
+++ b/components/spread/src/pass.rs
@@ -1,4 +1,6 @@
-//! Passing a version on along the tree of the data centre.
+//! Forwards new versions along the tree of the data centre. The tree sends each daemon one copy;
+//! pushes that are too large for thin links become announcements, and the children of a failed
+//! daemon are served in its place.
 
 use std::{rc::Rc, time::Duration};
 
@@ -19,23 +21,23 @@
     update::make_update,
 };
 
-/// Time without a byte from a child until it counts as failed and its children are served in its
-/// place. A sound one answers in milliseconds; the whole tree must fit into seconds although a
-/// daemon of each layer is paused.
+/// Time without a byte from a child after which it counts as failed and its children are served in
+/// its place. A healthy child answers in milliseconds, and the whole tree must finish within
+/// seconds even if one daemon of each layer is paused.
 const PASS_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How long the second relay leaves the tree to the first one, the third one twice as long. A tree
-/// of a data centre takes tens of milliseconds; after that only those are left whom a dead
-/// daemon cut off, and to all others an announcement is a few bytes in vain.
+/// Delay of the second relay after the first one; the third relay waits twice as long. A data
+/// centre's tree takes tens of milliseconds, so afterwards only the daemons that a failed one cut
+/// off still lack the version, and to all others an announcement costs a few unneeded bytes.
 const BACKUP_DELAY: Duration = Duration::from_millis(300);
 
-/// Largest update that is pushed, 16 kB in words. All children get theirs at once, so that a larger
-/// one would fill a thin link for as long as six of it take. It is announced instead, and each child
-/// fetches it at its own pace, if it still lacks it then.
+/// Largest update that is pushed, in words: 16 kB. All children receive theirs at once, so a
+/// larger one would fill a thin link for as long as 6 copies take. It is announced instead, and
+/// each child that still lacks it fetches it at its own pace.
 const MAX_PUSH_WORDS: u64 = 2_048;
 
-/// How long relays gather changes in announce mode. Operators apply changes in series, and one
-/// fetch for several of them is where announcing saves bytes: a single small change costs about
-/// the same either way.
+/// How long relays batch changes in announce mode. Operators apply changes in series, and
+/// announcing saves bytes when one fetch covers several of them: a single small change costs about
+/// the same in both modes.
 const GATHER_DELAY: Duration = Duration::from_secs(1);
 
 /// What is sent to the children in the tree.
@@ -47,26 +49,26 @@
     Announce,
 }
 
-/// How a new version is passed on.
+/// How a new version is forwarded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PassPlan {
-    /// What is sent.
+    /// What is sent to the children.
     pub style: PassStyle,
     /// The daemon at which the tree begins.
     pub root: ProxyId,
-    /// Pause before.
+    /// Delay before sending.
     pub delay: Duration,
 }
 
-/// Decides how `own` passes a new version on; `rank` is its place among the relays.
+/// Decides how daemon `own` forwards a new version; `rank` is its position among the relays.
 ///
-/// Made for a change that all relays of a data centre of 87 daemons see in the same millisecond.
-/// If each pushed it, every daemon would receive the change once per relay; so the first relay
-/// pushes, and the others announce a little later, which costs little and reaches whom a
-/// first relay that died in mid-push has missed. A daemon that is no relay watches the source only
-/// where the relays fail to, and several of them may do so at once, so each announces. A version
-/// found by comparison or at the start is usually missing here alone: pushing it would send the
-/// whole data centre what it holds already.
+/// All relays of a data centre of 87 daemons see a change in the same millisecond. If each pushed
+/// it, every daemon would receive it once per relay. So the first relay pushes, and the others
+/// announce a little later, which costs little and reaches the daemons that a first relay missed
+/// when it died during a push. A daemon that is no relay watches the source only if the relays
+/// fail to, and several of them may do so at once, so each announces. A version found by
+/// reconciliation or at the start is usually missing only here: pushing it would send the whole
+/// data centre what it already holds.
 pub fn plan_pass(
     origin: &VersionOrigin,
     own: &ProxyId,
@@ -93,16 +95,16 @@
     }
 }
 
-/// An update as it is sent, encoded once for all children.
+/// An update encoded once for all children.
 type UpdateMessage = TypedBuilder<update::Owned>;
 
-/// What is sent to the children.
+/// Payload sent to the children.
 enum PassContent {
     Change(UpdateMessage),
     Number,
 }
 
-/// What all calls of one pass share.
+/// State shared by all calls that forward one version.
 struct PassRun {
     node: Rc<SpreadNode>,
     tree: PushTree,
@@ -112,7 +114,7 @@
     content: PassContent,
 }
 
-/// Passes versions on, each in a task of its own: a paused child must not hold up the next one.
+/// Forwards each version in its own task, so that a paused child does not delay the next version.
 pub(crate) async fn pass_versions(
     node: &Rc<SpreadNode>,
     mut orders: mpsc::UnboundedReceiver<PassOrder>,
@@ -128,8 +130,8 @@
     tokio::time::sleep(plan.delay).await;
     let mut newest = order.newest;
     if !plan.delay.is_zero() {
-        // One announcement carries all versions that came during the pause. It must not wait for
-        // a moment without a newer one: under steady changes none would ever go out.
+        // One announcement covers all versions that arrive during the delay. It must not wait for
+        // a quiet period: under steady changes none would ever be sent.
         if node.announced.get() >= newest.version() {
             return;
         }
@@ -152,7 +154,7 @@
     join_all(children.into_iter().map(|child| run.serve(child, &run.content))).await;
 }
 
-/// Encodes a change that is to be pushed, unless it is too large for that.
+/// Encodes a change for a push, or falls back to an announcement if it is too large.
 fn make_content(base: &ConfigSnapshot, newest: &ConfigSnapshot) -> PassContent {
     let mut message = UpdateMessage::new_default();
     let encode = |message: &mut UpdateMessage| {
@@ -170,11 +172,11 @@
 }
 
 impl PassRun {
-    /// Serves a child, and in its place its children where it fails. Without that, a daemon that
-    /// dies in mid-push leaves its whole subtree to the slower repair.
+    /// Sends to a child, and to its children if it fails. Otherwise a daemon that dies during a
+    /// push leaves its whole subtree to the slower reconciliation.
     ///
-    /// The children of one that failed are announced to: a child fails to answer in time also where
-    /// this daemon's own link is full, and six more copies for each would fill it further.
+    /// The children of a failed daemon get announcements: a child also times out when this
+    /// daemon's own link is full, and six more copies for each failure would fill it further.
     fn serve<'a>(&'a self, child: ProxyId, content: &'a PassContent) -> LocalBoxFuture<'a, ()> {
         Box::pin(async move {
             let result = match content {
--- a/components/spread/src/pool.rs
+++ b/components/spread/src/pool.rs
@@ -1,4 +1,5 @@
-//! The open connections, by peer.
+//! Pool of open connections by peer. It reuses them for calls and closes those that are unused, so
+//! that their number does not grow to the size of the fleet.
 
 use std::{
     cell::RefCell,
@@ -11,15 +12,17 @@
 
 use crate::session::PeerSession;
 
-/// Time without a call after which a connection that is no link is closed. Longer than the pause
-/// between changes made in one go, so that a tree's connections serve all of them; short enough
-/// that comparisons with random members do not pile up connections to the whole fleet.
+/// Time without a call after which a connection that is no link is closed. It is longer than the
+/// pause between changes of one series, so that a tree's connections serve all of them, and short
+/// enough that reconciliations with random members do not accumulate connections to the whole
+/// fleet.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// Connections kept at most; beyond it the longest unused one is closed. Links, tree and acks of a
-/// daemon take about 20; a relay's data centre about 90; a seed in a herd restart hundreds.
+/// Maximum number of connections; beyond it the one that is unused longest is closed. Links, tree
+/// and acknowledgements of a daemon take about 20; a relay's data centre about 90; a seed during a
+/// fleet restart hundreds.
 const MAX_SESSIONS: usize = 256;
 
-/// Connections kept open to peers, whichever side opened them.
+/// Open connections to peers, whichever side opened them.
 #[derive(Default)]
 pub(crate) struct PeerPool {
     sessions: RefCell<Vec<Rc<PeerSession>>>,
@@ -27,7 +30,7 @@
 }
 
 impl PeerPool {
-    /// Gives the open connection to a peer.
+    /// Returns the open connection to a peer.
     pub(crate) fn get(&self, proxy: &str) -> Option<Rc<PeerSession>> {
         let found = self.by_proxy.borrow().get(proxy).cloned();
         found.filter(|session| !session.is_closed())
@@ -44,7 +47,7 @@
         }
     }
 
-    /// Closes connections that are unused and no links, and forgets those that ended.
+    /// Closes unused connections that are no links, and removes those that ended.
     pub(crate) fn sweep(&self, links: &BTreeSet<ProxyId>) -> PoolSweep {
         let mut sessions = self.sessions.borrow_mut();
         for session in sessions.iter() {
@@ -66,10 +69,10 @@
     }
 }
 
-/// What a sweep has found.
+/// Result of a sweep.
 pub(crate) struct PoolSweep {
-    /// Connections that are open.
+    /// Number of open connections.
     pub(crate) open: usize,
-    /// Peers whose connection ended without this side's wish.
+    /// Peers whose connection ended without this side closing it.
     pub(crate) lost: Vec<ProxyId>,
 }
--- a/components/spread/src/relays.rs
+++ b/components/spread/src/relays.rs
@@ -1,4 +1,5 @@
-//! Which daemons of the data centre watch the configuration source.
+//! Chooses which daemons of the data centre watch the configuration source, so that its load does
+//! not grow with the fleet.
 
 use std::{rc::Rc, time::Duration};
 
@@ -11,11 +12,11 @@
     relay_view::{RelayId, RelayView},
 };
 
-/// Pause before the relays are chosen again after members changed: a herd restart changes them
-/// hundreds of times a second, and each choice weighs the whole data centre.
+/// Pause before the relays are chosen again after members changed. A fleet restart changes them
+/// hundreds of times a second, and each choice ranks the whole data centre.
 const CHOICE_PAUSE: Duration = Duration::from_millis(100);
 
-/// Chooses the relays and sets the order in which the others would look in their place.
+/// Chooses the relays, and sets the order in which other daemons take over from them.
 pub(crate) fn view_relays(node: &SpreadNode) -> RelayView {
     let view = node.view();
     let own = node.members.own();
--- a/components/spread/src/repair.rs
+++ b/components/spread/src/repair.rs
@@ -1,4 +1,5 @@
-//! Comparison with a random member, for what trees and links have missed.
+//! Periodic reconciliation with a random member, which finds versions and records that trees and
+//! links have missed.
 
 use std::rc::Rc;
 
@@ -11,11 +12,11 @@
     peer_capnp::peer,
 };
 
-/// Compares version and records with a random member of any data centre, again and again.
+/// Reconciles version and records with a random member of any data centre, repeatedly.
 ///
-/// Made for what every faster way has missed: daemons whose views differ compute different trees,
-/// and two data centres that were cut off from each other may each hold what the other lacks.
-/// The jitter keeps a fleet that started in one second from comparing in step for ever.
+/// This covers what the faster mechanisms miss: daemons whose views differ compute different
+/// trees, and two data centres that were partitioned may each hold what the other lacks. The
+/// jitter keeps daemons that started within one second from staying synchronised.
 pub(crate) async fn repair_forever(node: &Rc<SpreadNode>) {
     loop {
         tokio::time::sleep(jittered(node.options.repair_interval)).await;
--- a/components/spread/src/server.rs
+++ b/components/spread/src/server.rs
@@ -1,4 +1,6 @@
-//! What a daemon answers to its peers.
+//! Server side of the `Peer` interface: what a daemon answers to authenticated peers. Every call
+//! checks that the peer has authenticated, and the number and duration of concurrent fetches are
+//! bounded so that large answers do not exhaust the memory.
 
 use std::{
     cell::{OnceCell, RefCell},
@@ -23,19 +25,19 @@
     update::{ConfigUpdate, apply_update, make_tree_update, make_update},
 };
 
-/// Longest time a fetch holds its place. A receiver that is paused in mid-read would otherwise
-/// keep it, and a few of them would keep all.
+/// Longest time for which a fetch occupies a slot. A receiver that pauses while it reads would
+/// otherwise keep its slot, and a few of them would occupy all slots.
 const PLACE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Answers up to this size, 16 kB, fit into the socket's buffer and free their place at once; the
-/// ticket would cost more bytes than it saves memory.
+/// Largest answer that needs no ticket, in words: 16 kB. It fits into the socket's buffer and
+/// frees its slot at once; a ticket would cost more bytes than it saves memory.
 const SMALL_WORDS: u64 = 2_048;
-/// How long a fetch waits for a place before it is refused. A large version that is announced is
-/// fetched by all children at once; over a fast link a place is free again within milliseconds.
+/// How long a fetch waits for a slot before it is refused. All children fetch a large announced
+/// version at once, and over a fast link a slot is free again within milliseconds.
 const PLACE_WAIT: Duration = Duration::from_millis(50);
-/// Mean pause that a refused fetch is told to wait.
+/// Mean pause requested of a peer whose fetch is refused.
 const BUSY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Answers one proven peer.
+/// Answers the calls of one authenticated peer.
 pub(crate) struct PeerServer {
     node: Weak<SpreadNode>,
     session: OnceCell<Rc<PeerSession>>,
@@ -46,14 +48,18 @@
         Self { node: Rc::downgrade(node), session: OnceCell::new() }
     }
 
-    /// Opens the server to its peer, once that has proved the secret.
+    /// Enables the server's calls, once its peer has authenticated.
     pub(crate) fn open(&self, session: &Rc<PeerSession>) {
-        // Set twice only where one session were opened twice, which changes nothing.
+        // A second call for the same session changes nothing.
         let _ = self.session.set(session.clone());
     }
 
-    /// Gives the node and the session. Until the peer is proven every call fails: the side that
-    /// opened a connection hands this server out before it knows who is at the other end.
+    /// Returns the node and the session.
+    ///
+    /// # Errors
+    ///
+    /// Fails until the peer has authenticated, because the side that opens a connection hands out
+    /// this server before it knows its peer; and when the daemon stops.
     fn enter(&self) -> Result<(Rc<SpreadNode>, &Rc<PeerSession>), Error> {
         let session = self.session.get();
         let session = session.ok_or_else(|| Error::failed("peer is not proven".to_owned()))?;
@@ -156,8 +162,8 @@
     ) -> Result<(), Error> {
         let (node, _) = self.enter()?;
         let request = params.get()?.get_request()?;
-        // In a herd restart each daemon is a relay by its own first view. One that is not ready
-        // has not read the platform itself yet, and would read it for whoever asks.
+        // When a whole fleet restarts, each daemon is a relay in its own first view. A daemon that
+        // is not ready has not read the platform itself yet, and would read it for every caller.
         let is_relay = node.held.is_ready() && node.relays.borrow().rank.is_some();
         let looked = match request.get_confirm() && is_relay {
             true => Some(node.confirm().await),
@@ -201,7 +207,8 @@
     let newest = node.held.newest();
     let is_first = node.note_push(version, &origin);
     if version == newest.version() && mark == root_mark(&newest.root.hash()) && is_first {
-        // Held already, by a watch or a comparison; the children in this tree are not served yet.
+        // The version already came from a watch or a reconciliation; the children in this tree
+        // still lack it.
         return node.pass_along(update.base, newest, origin);
     }
     if version <= newest.version() || node.held.is_refused(version, mark) {
@@ -209,7 +216,7 @@
     }
     match apply_update(&newest, update) {
         Ok(snapshot) => drop(node.offer(snapshot, from, origin)),
-        // The base is not held here, usually after a pause: the difference is fetched instead.
+        // The base is not held here, usually after a pause, so the difference is fetched instead.
         Err(err) => {
             log::debug!("spread: cannot apply a push from {from}: {err}.");
             node.want(FetchWant { version, mark, from: from.to_owned(), origin });
@@ -246,8 +253,9 @@
     Ok(())
 }
 
-/// Makes the smallest update that the receiver can apply: a delta where its base is kept here,
-/// else the subtrees that it lacks. None where it has to name those it holds first.
+/// Makes the smallest update that the receiver can apply: a delta if its base is kept here, else
+/// the subtrees that it lacks. Returns `None` if the receiver has to send its subtree hashes
+/// first.
 fn make_answer(
     node: &SpreadNode,
     request: fetch_request::Reader<'_>,
@@ -264,7 +272,8 @@
     })
 }
 
-/// Holds the place of a fetch until the receiver has read the answer and drops it.
+/// Occupies a fetch slot until the receiver has read the answer and releases the ticket, or until
+/// [`FETCH_SLOT_TIMEOUT`].
 struct TicketServer {
     _place: Rc<RefCell<Option<OwnedSemaphorePermit>>>,
 }
--- a/components/spread/src/session.rs
+++ b/components/spread/src/session.rs
@@ -1,4 +1,5 @@
-//! An open connection to a peer.
+//! One open connection to an authenticated peer, and the state that its users share with the task
+//! that runs it.
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -7,7 +8,7 @@
 
 use crate::peer_capnp::peer;
 
-/// An open connection to a proven peer.
+/// An open connection to an authenticated peer.
 pub(crate) struct PeerSession {
     pub(crate) proxy: ProxyId,
     pub(crate) client: peer::Client,
@@ -15,15 +16,15 @@
     link: SessionLink,
 }
 
-/// What ends a connection.
+/// Connection state shared between the session and the task that runs it.
 pub(crate) type SessionLink = Rc<SessionSignal>;
 
-/// Carries the wish to close to the task that runs the connection, and back how that fares.
+/// Requests the close of a connection and reports whether and how it ended.
 pub(crate) struct SessionSignal {
     pub(crate) close: Notify,
     pub(crate) is_closed: Cell<bool>,
     pub(crate) is_lost: Cell<bool>,
-    /// When the peer's last bytes came.
+    /// When the last bytes arrived from the peer.
     heard_at: Cell<Instant>,
 }
 
@@ -59,7 +60,7 @@
         self.used.get().elapsed()
     }
 
-    /// Gives when the peer's last bytes came.
+    /// Returns when the last bytes arrived from the peer.
     pub(crate) fn heard_at(&self) -> Instant {
         self.link.heard_at.get()
     }
@@ -68,7 +69,7 @@
         self.link.is_closed.get()
     }
 
-    /// Tells whether the connection ended without this side's wish.
+    /// Returns whether the connection ended without this side closing it.
     pub(crate) fn is_lost(&self) -> bool {
         self.link.is_lost.get()
     }
--- a/components/spread/src/source.rs
+++ b/components/spread/src/source.rs
@@ -1,4 +1,5 @@
-//! What the spread needs of the rest of the daemon.
+//! Interfaces that the rest of the daemon implements for the control thread: the configuration
+//! source, the contact book, notices and the sink of acknowledgements.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -8,76 +9,77 @@
 use thiserror::Error;
 use tokio::time::Instant;
 
-/// Control addresses by data centre, as kept in the platform.
+/// Control addresses by data centre, as stored in the platform.
 pub type ContactMap = BTreeMap<DataCentre, Vec<SocketAddr>>;
 
-/// The configuration source or the contact book gave nothing.
+/// Failure of the configuration source or the contact book.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("configuration source: {reason}")]
 pub struct SourceError {
-    /// What the source said.
+    /// Error message of the source.
     pub reason: String,
 }
 
-/// What a wait at the source gave.
+/// Result of waiting for a new version at the source.
 #[derive(Clone, Debug)]
 pub struct SourceNews {
-    /// A configuration newer than the one held; none where there was none.
+    /// A configuration newer than the held one; `None` if there is none.
     pub newer: Option<ConfigSnapshot>,
-    /// When the source was seen, on this instance's steady clock. It may be given as earlier than it
-    /// truly was, never as later: peers conclude from it that they hold the newest version.
+    /// When the source was read, on this instance's monotonic clock. It may be earlier than the
+    /// true time, never later: peers conclude from it that they hold the newest version.
     pub seen_at: Instant,
 }
 
-/// Where accepted configurations come from.
+/// Source of accepted configurations.
 #[async_trait]
 pub trait ConfigSource: Send + Sync {
     /// Loads the newest configuration, reusing subtrees of `held`.
     ///
     /// # Errors
     ///
-    /// Returns a [`SourceError`] when the source is away.
+    /// Returns a [`SourceError`] if the source is unreachable.
     async fn load(&self, held: &ConfigSnapshot) -> Result<ConfigSnapshot, SourceError>;
 
-    /// Waits up to `timeout` for a configuration newer than `held`. Where none comes, the source was
-    /// seen about when the wait ended.
+    /// Waits up to `timeout` for a configuration newer than `held`. If there is none, the result's
+    /// `seen_at` is about the end of the wait.
     ///
     /// # Errors
     ///
-    /// Returns a [`SourceError`] when the source is away.
+    /// Returns a [`SourceError`] if the source is unreachable.
     async fn wait_newer(
         &self,
         held: &ConfigSnapshot,
         timeout: Duration,
     ) -> Result<SourceNews, SourceError>;
 
-    /// Gives the place in the source's history up to which everything is known here; zero where the
-    /// source keeps none.
+    /// Returns the position in the source's history up to which this daemon knows everything; zero
+    /// if the source keeps no history.
     fn history(&self) -> HistoryMark {
         0
     }
 
-    /// Takes over from where a peer's knowledge of the source's history ends. What is held here is
-    /// the newest version up to there, so that nothing before it has to be read.
+    /// Continues at the position in the source's history that a peer knows. The version held here
+    /// is the newest one up to there, so nothing before it has to be read.
     fn follow_from(&self, _history: HistoryMark) {}
 }
 
-/// Where daemons leave addresses for those that start with no other way to find the fleet.
+/// Stores addresses of daemons for those that start without another way to find the fleet.
 #[async_trait]
 pub trait ContactBook: Send + Sync {
     /// Reads the addresses of all data centres.
     ///
     /// # Errors
     ///
-    /// Returns a [`SourceError`] when the platform is away.
+    /// Returns a [`SourceError`] if the platform is unreachable.
     async fn read(&self) -> Result<ContactMap, SourceError>;
 
-    /// Replaces the addresses of one data centre. Must fail where another daemon has written
-    /// since `seen` was read: the loser then reads that one's addresses and meets it.
+    /// Replaces the addresses of one data centre. Must fail if another daemon has written since
+    /// `seen` was read: the loser then reads that daemon's addresses and joins it.
     ///
     /// # Errors
     ///
-    /// Returns a [`SourceError`] when the platform is away or another daemon wrote in between.
+    /// Returns a [`SourceError`] if the platform is unreachable or another daemon wrote in
+    /// between.
     async fn write(
         &self,
         data_centre: &str,
@@ -86,26 +88,27 @@
     ) -> Result<(), SourceError>;
 }
 
-/// News of the request path that every daemon should know.
+/// Notices about requests that every daemon should know, such as those that crash servers.
 ///
-/// Merging is idempotent and commutative, and what a merge changed counts as changed here, so that
-/// each daemon passes each piece of news on once.
+/// Merging is idempotent and commutative. What a merge changes counts as changed here, so that
+/// each daemon sends each notice on once.
 pub trait NoticeBoard: Send + Sync {
-    /// Gives a number that grows with each change.
+    /// Returns a number that grows with each change.
     fn revision(&self) -> u64;
 
-    /// Takes what changed since the last call, encoded; none where nothing did.
+    /// Takes the notices that changed since the last call, encoded; `None` if nothing changed.
     fn take_changed(&self) -> Option<Vec<u8>>;
 
-    /// Gives everything, encoded, for a daemon that may know none of it; none if there is nothing.
+    /// Returns all notices, encoded, for a daemon that may know none of them; `None` if there are
+    /// none.
     fn everything(&self) -> Option<Vec<u8>>;
 
-    /// Merges what a peer sent and tells whether it could be read.
+    /// Merges notices from a peer and returns whether they could be decoded.
     fn merge(&self, body: &[u8]) -> bool;
 }
 
-/// Takes proxies' acknowledgements at a relay.
+/// Receives proxies' acknowledgements at a relay.
 pub trait AckSink: Send + Sync {
-    /// Notes acknowledgements; noting one twice changes nothing.
+    /// Records acknowledgements; recording one twice changes nothing.
     fn note(&self, acks: Vec<ProxyAck>);
 }
--- a/components/spread/src/start.rs
+++ b/components/spread/src/start.rs
@@ -1,4 +1,7 @@
-//! Becoming ready: holding at least the highest version that the platform or the peers know.
+//! Readiness at start: a daemon serves only once it holds at least the highest version that the
+//! platform or its peers know. Otherwise a restarted process could put an older version in force
+//! than its predecessor. It asks the relays first and reads the platform only if they cannot
+//! answer.
 
 use std::{rc::Rc, time::Duration};
 
@@ -15,46 +18,49 @@
     orders::{ConfirmOutcome, VersionOrigin},
 };
 
-/// Time for which the relays must have stayed the same before a starting daemon takes itself for
-/// one and reads the platform. In a herd restart each daemon is a relay by its own first view.
+/// Time for which the relays must have stayed the same before a starting daemon treats itself as a
+/// relay and reads the platform. When a whole fleet restarts, each daemon is a relay in its own
+/// first view.
 const RELAY_SETTLED: Duration = Duration::from_millis(600);
 /// First and longest pause between rounds of asking.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
 const LONGEST_PAUSE: Duration = Duration::from_secs(1);
-/// Mean pause between reads by a daemon whose relays are there but not ready themselves. Only
-/// their way to the platform may be cut, so it has to read; but after an outage in which everything
-/// restarted, hundreds wait like this, and each that reads holds nothing yet and reads all.
+/// Mean pause between reads of the platform while the relays answer but are not ready themselves.
+/// Only their connection to the platform may be cut, so this daemon has to read; but after an
+/// outage in which everything restarted, hundreds of daemons are in this state, and each one that
+/// reads holds nothing yet and reads the whole configuration.
 const LATE_PAUSE: Duration = Duration::from_secs(10);
-/// The same in windows, for a fleet whose window is short.
+/// Upper bound of that pause as a multiple of the start window, for fleets with a short window.
 const LATE_WINDOWS: u32 = 5;
-/// Longest pause between rounds while the platform is away and nobody reachable knows a version.
+/// Longest pause between rounds while the platform is unreachable and no reachable peer knows a
+/// version.
 const OUTAGE_PAUSE: Duration = Duration::from_secs(5);
-/// Members asked for what they hold before the platform is read.
+/// Number of members asked for their version before the platform is read.
 const WARM_TRIES: usize = 8;
-/// Members asked at once while the platform is away.
+/// Number of members asked at once while the platform is unreachable.
 const ASK_CHUNK: usize = 16;
-/// Times that a busy member is asked again.
+/// Number of times that a busy member is asked.
 const ASK_TRIES: usize = 5;
 
-/// What the data centre's relays said to a starting daemon.
+/// Best answer of the data centre's relays to a starting daemon, from worst to best.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum RelayAnswer {
-    /// None could be asked.
+    /// No relay could be asked.
     Silent,
-    /// None of those asked is ready itself.
+    /// None of the relays asked is ready itself.
     Waiting,
-    /// A ready one could not read the platform.
+    /// A ready relay could not read the platform.
     Away,
-    /// One read the platform, and what it holds is held here.
+    /// A relay read the platform, and the version it holds is held here.
     Confirmed,
 }
 
-/// Asks relays, and in the end the platform itself, until this daemon holds what it must.
+/// Asks the relays, and finally the platform itself, until this daemon is ready.
 pub(crate) async fn settle_start(node: &Rc<SpreadNode>, mut stage: watch::Receiver<JoinStage>) {
-    // In a herd restart the times are spread over the window, so that the first ones read the
-    // platform and all later ones get it from them; a daemon whose peers are all away is late by
-    // it. At least half of it passes first: whoever reads earlier reads because it has not met the
-    // others yet.
+    // When a whole fleet restarts, these random times spread the daemons over the window: the
+    // first ones read the platform and the later ones get the version from them. A daemon whose
+    // peers are all unreachable starts later by that time. At least half of the window passes
+    // first, because a daemon that reads earlier only does so before it has met the others.
     let window = node.options.start_window;
     let window_end = Instant::now() + window / 2 + drawn(window);
     let late_pause = LATE_PAUSE.min(window * LATE_WINDOWS);
@@ -66,7 +72,7 @@
     while !node.held.is_ready() {
         let stage = *stage.borrow();
         let answer = match stage {
-            // A relay that is gone answers nothing, and must not hold up the rest of the start.
+            // A relay that is gone answers nothing and must not delay the rest of the start.
             JoinStage::Met => {
                 tokio::time::timeout(window, ask_relays(node)).await.unwrap_or(RelayAnswer::Silent)
             }
@@ -92,14 +98,14 @@
     }
 }
 
-/// Reads the platform, or asks the members where that is away, and tells whether this daemon is
-/// ready by it.
+/// Reads the platform, or asks the members if it is unreachable, and returns whether this daemon
+/// is ready afterwards.
 async fn read_platform(node: &Rc<SpreadNode>) -> bool {
     warm_up(node).await;
     match node.confirm().await {
         ConfirmOutcome::Held => true,
-        // A process before this one cannot have held a version that fails validation; what it
-        // held, the members know.
+        // The previous process cannot have held a version that fails validation; the members know
+        // which one it held.
         ConfirmOutcome::Refused | ConfirmOutcome::Away if ask_members(node).await => {
             node.set_ready("as the members know");
             true
@@ -108,8 +114,8 @@
     }
 }
 
-/// Takes from a peer what it holds, before the platform is read: a read then costs one call for the
-/// head, where a daemon that holds nothing reads every subtree.
+/// Fetches the version of a peer before the platform is read. A read then costs one call for the
+/// head, whereas a daemon that holds nothing reads every subtree.
 async fn warm_up(node: &Rc<SpreadNode>) {
     let mut others = node.others();
     others.shuffle(&mut rand::rng());
@@ -129,7 +135,7 @@
     relays.rank.is_some() && relays.since.elapsed() >= settled
 }
 
-/// Asks the data centre's relays to look at the platform, until one has.
+/// Asks the data centre's relays to read the platform, one after the other, until one has.
 async fn ask_relays(node: &Rc<SpreadNode>) -> RelayAnswer {
     let relays = node.relays.borrow().relays.clone();
     let mut answer = RelayAnswer::Silent;
@@ -154,11 +160,13 @@
     answer
 }
 
-/// Asks all reachable members for what they hold, and tells whether any of them knows.
+/// Asks all reachable members for their version, and returns whether any of them is ready and
+/// nothing newer is left to fetch.
 ///
-/// Made for a platform that is away while a daemon restarts. All are asked, as only one of them
-/// may have got the last version. Where all restart at once nobody knows anything; the
-/// first few answers show it, and the fleet does not ask each other by the square of its size.
+/// Used while the platform is unreachable during a restart. All members are asked, as only one of
+/// them may have received the last version. If all daemons restart at once, nobody knows a
+/// version; the first chunk of answers shows it, and the fleet does not make a number of calls
+/// that grows with the square of its size.
 async fn ask_members(node: &Rc<SpreadNode>) -> bool {
     let mut others: Vec<ProxyId> =
         node.others().iter().map(|record| record.proxy.clone()).collect();
@@ -174,12 +182,12 @@
     is_known
 }
 
-/// Tells whether it stayed open what the member holds.
+/// Returns whether the member may hold a version that was not obtained.
 fn is_open(outcome: FetchOutcome) -> bool {
     !matches!(outcome, FetchOutcome::Held | FetchOutcome::Refused)
 }
 
-/// Fetches what a member holds; none where it cannot be reached.
+/// Fetches the version that a member holds; `None` if it cannot be reached.
 async fn ask_member(node: &Rc<SpreadNode>, proxy: &str) -> Option<FetchReply> {
     let mut last = None;
     for _ in 0..ASK_TRIES {
--- a/components/spread/src/state.rs
+++ b/components/spread/src/state.rs
@@ -1,4 +1,5 @@
-//! What the spread shows of itself in a state dump.
+//! State of the control thread for the state dump: links, relays, age of the source, and counters
+//! by kind of call.
 
 use std::{
     array,
@@ -16,7 +17,7 @@
 
 use crate::relay_view::RelayView;
 
-/// Bytes in a word of the wire format.
+/// Bytes in one word of the Cap'n Proto encoding.
 const WORD_BYTES: u64 = 8;
 
 /// Kinds of calls between daemons.
@@ -25,10 +26,10 @@
     /// Heartbeats over links.
     #[display("beat")]
     Beat,
-    /// Records and words of observers passed on.
+    /// Changed records and suspicions.
     #[display("rumor")]
     Rumor,
-    /// Comparisons of records.
+    /// Reconciliations of records.
     #[display("reconcile")]
     Reconcile,
     /// Versions pushed along a tree.
@@ -40,7 +41,7 @@
     /// Versions fetched.
     #[display("fetch")]
     Fetch,
-    /// News of the request path.
+    /// Notices about requests, such as those that crash servers.
     #[display("notice")]
     Notice,
     /// Acknowledgements.
@@ -59,11 +60,11 @@
     CallKind::Ack,
 ];
 
-/// Traffic of one kind of call since the start of the process: payloads as encoded, without the
+/// Traffic of one kind of call since the start of the process: encoded payloads without the
 /// framing of calls and TCP. [`ControlMeter`](crate::ControlMeter) counts all bytes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct KindBytes {
-    /// Kind of call.
+    /// Name of the kind of call.
     pub kind: String,
     /// Messages sent.
     pub calls: u64,
@@ -73,31 +74,31 @@
     pub received: u64,
 }
 
-/// The spread as of one moment.
+/// Snapshot of the control thread's state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct SpreadState {
-    /// Whether the daemon holds what it must before it serves.
+    /// Whether the daemon holds the version it needs before it serves.
     pub is_ready: bool,
     /// Whether it watches the configuration source for its data centre.
     pub is_relay: bool,
-    /// The relays of its data centre, first choice first.
+    /// Relays of its data centre, ordered by preference.
     pub relays: Vec<ProxyId>,
-    /// Daemons it shares a link with.
+    /// Daemons that it has a link to.
     pub links: Vec<ProxyId>,
-    /// Connections open as of the last look, a few seconds ago at most.
+    /// Open connections as of the last sweep, at most a few seconds ago.
     pub connections: u64,
-    /// What the configuration source said last; none while it answers.
+    /// Last error of the configuration source; `None` while it answers.
     pub source_fault: Option<String>,
-    /// Milliseconds since the source was known to have nothing newer than what is held here, by
-    /// this daemon's own look or by what peers told; none where that is not known.
+    /// Milliseconds since the source was known to have nothing newer than the version held here,
+    /// from this daemon's own read or from peers; `None` if unknown.
     pub source_age_ms: Option<u64>,
-    /// Looks at the configuration source other than watches.
+    /// Reads of the configuration source other than watches.
     pub source_reads: u64,
     /// Fetches served.
     pub fetches_served: u64,
-    /// Fetches refused because too many were served at once.
+    /// Fetches refused because too many were being served.
     pub fetches_refused: u64,
-    /// Newest version under which a peer holds another content; zero where none does.
+    /// Newest version under which a peer holds different content; zero if there is none.
     pub diverged: Version,
     /// Traffic by kind of call.
     pub kinds: Vec<KindBytes>,
@@ -110,7 +111,7 @@
     received: AtomicU64,
 }
 
-/// Parts of the state that are not counters.
+/// State that is not a counter.
 #[derive(Default)]
 struct StateParts {
     relays: RelayView,
@@ -123,7 +124,7 @@
     u64::try_from(seen_at.elapsed().as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Counters of the control thread, readable from others.
+/// State of the control thread, readable from other threads.
 #[derive(Default)]
 pub(crate) struct SpreadStats {
     parts: Mutex<StateParts>,
@@ -163,7 +164,8 @@
         self.fetches_refused.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Notes a version with two contents and tells whether it is news.
+    /// Records a version with two different contents and returns whether it is the newest one so
+    /// far.
     pub(crate) fn note_diverged(&self, version: Version) -> bool {
         self.diverged.fetch_max(version, Ordering::Relaxed) < version
     }
@@ -172,7 +174,7 @@
         self.with_parts(|parts| parts.source_fault = fault);
     }
 
-    /// Notes since when the source is known to have nothing newer than what is held here.
+    /// Records when the source was known to have nothing newer than the version held here.
     pub(crate) fn note_source_seen(&self, seen_at: Instant) {
         self.with_parts(|parts| parts.source_seen = parts.source_seen.max(Some(seen_at)));
     }
@@ -189,7 +191,7 @@
         change(&mut self.parts.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Gives the state as of now.
+    /// Returns the current state.
     pub(crate) fn state(&self, is_ready: bool) -> SpreadState {
         let kinds: [KindBytes; KINDS.len()] = array::from_fn(|index| KindBytes {
             kind: KINDS[index].to_string(),
--- a/components/spread/src/update.rs
+++ b/components/spread/src/update.rs
@@ -1,4 +1,6 @@
-//! A version as what changed since a base.
+//! Updates: a version encoded as its difference from a base version. Applying one verifies the
+//! result against its hashes, so that an update on the wrong base or damaged in transit never
+//! comes into force.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,7 +12,7 @@
 };
 use thiserror::Error;
 
-/// Hash of each subtree that a daemon holds.
+/// Hash of each subtree, by team.
 pub type TreeHashes = BTreeMap<TeamName, ContentHash>;
 
 /// The content of one subtree in an update.
@@ -18,27 +20,27 @@
 pub enum TreeContent {
     /// The whole subtree.
     Whole(TeamTree),
-    /// Writes on top of the base's subtree.
+    /// Writes to apply to the base's subtree.
     Writes(SettingWrites),
-    /// The receiver holds this subtree already, by its hash.
+    /// The receiver already has this subtree, as its hash shows.
     Held,
 }
 
-/// One subtree that changed.
+/// One subtree that differs from the base.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TreeUpdate {
     /// Hash and version of the subtree.
     pub tree_ref: TreeRef,
-    /// How to come by it.
+    /// The content, or how to derive it.
     pub content: TreeContent,
 }
 
-/// A version as what changed since a base version; base zero carries the whole.
+/// A version as its difference from a base version; base zero means the whole version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigUpdate {
-    /// The version.
+    /// The version that the update leads to.
     pub version: Version,
-    /// The version it builds on.
+    /// The version that it builds on.
     pub base: Version,
     /// Hash of the resulting root.
     pub root_hash: ContentHash,
@@ -56,18 +58,19 @@
     /// The receiver does not hold the base.
     #[error("base {base} is not held")]
     MissingBase {
-        /// The base version.
+        /// The base version of the update.
         base: Version,
     },
     /// The result does not match the hash that the update names.
     #[error("version {version} does not match its hash")]
     HashMismatch {
-        /// The version.
+        /// The version that the update names.
         version: Version,
     },
 }
 
-/// Makes the update that leads from `base` to `newest`. The empty snapshot as base gives the whole.
+/// Makes the update that leads from `base` to `newest`. An empty snapshot as `base` yields the
+/// whole version.
 pub fn make_update(base: &ConfigSnapshot, newest: &ConfigSnapshot) -> ConfigUpdate {
     let is_changed =
         |(team, tree_ref): &(&TeamName, &TreeRef)| base.root.trees.get(*team) != Some(*tree_ref);
@@ -87,8 +90,8 @@
     }
 }
 
-/// Makes the update for a receiver whose base is not kept here but who named the subtrees it
-/// holds: those that match are left out, the others are whole.
+/// Makes the update for a receiver whose base is not kept here and that sent the hashes of its
+/// subtrees: subtrees that match are left out, the others are whole.
 pub fn make_tree_update(held: &TreeHashes, newest: &ConfigSnapshot) -> ConfigUpdate {
     let mut update = make_update(&ConfigSnapshot::default(), newest);
     for (team, tree) in &mut update.trees {
@@ -99,7 +102,7 @@
     update
 }
 
-/// Gives the hashes of a configuration's subtrees.
+/// Returns the hashes of a configuration's subtrees.
 pub fn tree_hashes(snapshot: &ConfigSnapshot) -> TreeHashes {
     let hash = |(team, tree_ref): (&TeamName, &TreeRef)| (team.clone(), tree_ref.hash.clone());
     snapshot.root.trees.iter().map(hash).collect()
@@ -124,13 +127,13 @@
     }
 }
 
-/// Applies an update to what is held and verifies the result against the hashes.
+/// Applies an update to the held snapshot and verifies the result against the hashes.
 ///
-/// `held` is the base where the update names one; else only its subtrees are used.
+/// `held` must be the base that the update names; with base zero only its subtrees are used.
 ///
 /// # Errors
 ///
-/// Returns an [`UpdateFault`] when the base is another one or a hash does not match.
+/// Returns an [`UpdateFault`] if the base is a different one or a hash does not match.
 pub fn apply_update(
     held: &ConfigSnapshot,
     update: ConfigUpdate,
@@ -155,8 +158,8 @@
         snapshot.root.trees.insert(team.clone(), tree_update.tree_ref);
         snapshot.trees.insert(team, tree);
     }
-    // A sender with another history under the same version numbers, or a fault in transit, shows
-    // here and nowhere later: nothing of such an update may come into force.
+    // A sender with another history under the same version numbers, or damage in transit, is only
+    // detectable here. No part of such an update may come into force.
     match snapshot.root.hash() == update.root_hash && snapshot.is_intact() {
         true => Ok(snapshot),
         false => Err(UpdateFault::HashMismatch { version: update.version }),
--- a/components/spread/src/watch.rs
+++ b/components/spread/src/watch.rs
@@ -1,4 +1,6 @@
-//! Watching the configuration source.
+//! Watches and reads the configuration source. Usually the relays watch it for their data centre;
+//! other daemons take over if the relays fail to reach it, so that new versions still arrive.
+//! Reads for starting daemons are batched to spare the platform's rate limit.
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
@@ -16,15 +18,17 @@
     source::SourceNews,
 };
 
-/// First pause after the source failed, and the longest one. With 18 relays the cap means 36 calls a
-/// second at a source that is away, a fiftieth of its rate, and a delay of at most a second once it
-/// is back: a version is to be in force two seconds after its acknowledgement.
+/// First and longest pause after the source failed. With 18 relays the cap means 36 calls a second
+/// at an unreachable source, 1/50 of its rate limit, and a delay of at most one second once it is
+/// back: a version must be in force 2 seconds after its
+/// acknowledgement.
 const FIRST_PAUSE: Duration = Duration::from_millis(250);
 const LONGEST_PAUSE: Duration = Duration::from_secs(1);
-/// Wait of a look at the source for others that want one too. A lone start is late by it.
+/// Time in which a read of the source waits for more requests to share it. The start of a single
+/// daemon is delayed by it.
 const GATHER_PAUSE: Duration = Duration::from_millis(100);
-/// The same after a look within the last second. In a herd restart it bounds the reads of one relay
-/// to three a second, however many daemons ask.
+/// The same if the last read ended within [`HERD_WINDOW`]. When a whole fleet restarts, it limits
+/// one relay to 3 reads a second, however many daemons ask.
 const HERD_PAUSE: Duration = Duration::from_millis(300);
 const HERD_WINDOW: Duration = Duration::from_secs(1);
 
@@ -32,7 +36,7 @@
 
 /// Watches the source whenever it is this daemon's turn.
 pub(crate) async fn watch_source(node: &Rc<SpreadNode>) {
-    // Before that, reads at the start are the business of `start`.
+    // Before readiness, only `start` reads the source.
     let mut ready = node.held.ready();
     let _ = ready.wait_for(|is_ready| *is_ready).await;
     node.freshness.borrow_mut().restart(node.start.elapsed());
@@ -46,19 +50,19 @@
         }
         watch.leave(node);
         let pause = due.unwrap_or(LONGEST_PAUSE);
-        // The turn may come earlier where daemons before this one are gone.
+        // The turn may come earlier if daemons that precede this one are gone.
         let _ = tokio::time::timeout(pause, relays.changed()).await;
     }
 }
 
-/// One daemon's looks at the source.
+/// State of one daemon's watch of the source.
 struct SourceWatch {
-    /// The newest version seen, also one that was refused here.
+    /// The newest version seen, including one that was rejected here.
     seen: Arc<ConfigSnapshot>,
     pause: RetryPause,
-    /// Whether the source is watched now.
+    /// Whether the source is being watched.
     is_on: bool,
-    /// Whether peers were told that a look of this turn succeeded.
+    /// Whether heartbeats have reported the first success of this turn.
     is_told: bool,
 }
 
@@ -73,8 +77,8 @@
     async fn look(&mut self, node: &SpreadNode) {
         self.begin(node);
         let newest = node.held.newest();
-        // A refused version was seen but is not held: waiting for one newer than the held one would
-        // give the refused one again at once, over and over.
+        // A rejected version was seen but is not held: waiting for one newer than the held version
+        // would return the rejected one again at once, in a loop.
         let is_refused = self.seen.version() > newest.version();
         let after = if is_refused { self.seen.clone() } else { newest };
         match node.source.wait_newer(&after, node.options.watch_wait()).await {
@@ -96,21 +100,22 @@
             node.offer(snapshot, PLATFORM, VersionOrigin::Source);
         }
         node.note_seen(news.seen_at);
-        // Those whose turn is next would look too if they heard of it with the next heartbeat only.
+        // The next daemons in the order would also start to watch if they learnt of the success
+        // only with the next regular heartbeat.
         if !std::mem::replace(&mut self.is_told, true) {
             node.links.borrow().send_beats();
         }
     }
 
-    /// Takes the source over from those who should have looked.
+    /// Starts a turn of watching, in place of daemons that failed to if this is no relay.
     fn begin(&mut self, node: &SpreadNode) {
         if std::mem::replace(&mut self.is_on, true) {
             return;
         }
         let freshness = node.freshness.borrow();
         let turns = freshness.turns_before().unwrap_or_default();
-        // Each further daemon that fails too asks more rarely: all of a data centre fail while the
-        // source is away, and their calls must not grow with their number.
+        // Each further daemon that fails as well calls more rarely: all daemons of a data centre
+        // fail while the source is unreachable, and their calls must not grow with their number.
         let turn = u32::try_from(turns).unwrap_or(u32::MAX).saturating_add(1);
         self.pause = RetryPause::new(FIRST_PAUSE, LONGEST_PAUSE.saturating_mul(turn));
         let held = freshness.held();
@@ -122,7 +127,7 @@
         }
     }
 
-    /// Leaves the source to the daemons that go before this one.
+    /// Ends the turn and leaves the source to the daemons that precede this one.
     fn leave(&mut self, node: &SpreadNode) {
         if std::mem::take(&mut self.is_on) {
             self.is_told = false;
@@ -133,11 +138,12 @@
     }
 }
 
-/// Reads the source for those who must know that they hold the newest version.
+/// Reads the source for daemons that must confirm that they hold the newest version.
 ///
-/// Made for a herd restart, in which hundreds of daemons ask one relay within a second. Each read
-/// serves all who asked before it began, so that the platform sees one read at a time per
-/// relay; one that began earlier would not do, as it may have missed a version accepted since.
+/// When a whole fleet restarts, hundreds of daemons ask one relay within a second. Each read
+/// serves all requests that arrived before it began, so that the platform sees one read at a time
+/// per relay. A read that began earlier would not do, as it may have missed a version accepted
+/// since.
 pub(crate) async fn confirm_source(
     node: &Rc<SpreadNode>,
     mut requests: mpsc::UnboundedReceiver<ConfirmRequest>,
@@ -161,7 +167,7 @@
 async fn read_source(node: &SpreadNode) -> ConfirmOutcome {
     node.stats.count_read();
     let began = Instant::now();
-    // What a starting daemon reads is news to itself alone.
+    // A version that a starting daemon reads is usually new to that daemon alone.
     let origin = match node.held.is_ready() {
         true => VersionOrigin::Source,
         false => VersionOrigin::Found,
