--- a/components/spread/src/ack_batch.rs
+++ b/components/spread/src/ack_batch.rs
@@ -8,17 +8,18 @@
 /// Acknowledgements received by this relay and not passed on yet, the newest one per daemon.
 #[derive(Default)]
 pub(crate) struct AckBatch {
-    waiting: RefCell<BTreeMap<String, ProxyAck>>,
+    pending: RefCell<BTreeMap<String, ProxyAck>>,
     arrived: Notify,
 }
 
 impl AckBatch {
+    /// Adds acknowledgements, keeping the newest one per daemon.
     pub(crate) fn add(&self, acks: Vec<ProxyAck>) {
-        let mut waiting = self.waiting.borrow_mut();
+        let mut pending = self.pending.borrow_mut();
         for ack in acks {
-            let is_older = |held: &ProxyAck| ack_rank(held) <= ack_rank(&ack);
-            if waiting.get(&ack.proxy).is_none_or(is_older) {
-                waiting.insert(ack.proxy.clone(), ack);
+            let is_older = |stored: &ProxyAck| ack_order(stored) <= ack_order(&ack);
+            if pending.get(&ack.proxy).is_none_or(is_older) {
+                pending.insert(ack.proxy.clone(), ack);
             }
         }
         self.arrived.notify_one();
@@ -31,12 +32,12 @@
 
     /// Takes all pending acknowledgements.
     pub(crate) fn take(&self) -> Vec<ProxyAck> {
-        self.waiting.take().into_values().collect()
+        self.pending.take().into_values().collect()
     }
 }
 
 /// Returns the sort key of acknowledgements of one daemon, which may arrive out of order over two
 /// connections.
-fn ack_rank(ack: &ProxyAck) -> (u64, u64, u64) {
+fn ack_order(ack: &ProxyAck) -> (u64, u64, u64) {
     (ack.incarnation, ack.version, ack.rejected.as_ref().map_or(0, |rejected| rejected.version))
 }
--- a/components/spread/src/acks.rs
+++ b/components/spread/src/acks.rs
@@ -9,7 +9,7 @@
 use sk_model::ProxyAck;
 
 use crate::{
-    backoff::{RetryPause, drawn},
+    backoff::{RetryPause, random_up_to},
     codec,
     node::{CALL_TIMEOUT, SpreadNode},
     peer_capnp::peer,
@@ -20,64 +20,67 @@
 /// Longest random delay before an acknowledgement. A data centre of 87 daemons applies a change
 /// within tens of milliseconds, and all acknowledgements within one of them would queue at the
 /// relay.
-const ACK_SPREAD: Duration = Duration::from_millis(50);
+const MAX_ACK_DELAY: Duration = Duration::from_millis(50);
 /// The same after the relays changed, when every daemon reports its version to the new one. Nobody
 /// waits for these reports, and a relay that has just taken over has other work.
-const REACK_SPREAD: Duration = Duration::from_secs(1);
+const MAX_REACK_DELAY: Duration = Duration::from_secs(1);
 /// First and longest pause after a relay did not accept an acknowledgement.
 const FIRST_PAUSE: Duration = Duration::from_millis(500);
+/// Longest pause between retries of an acknowledgement.
 const LONGEST_PAUSE: Duration = Duration::from_secs(5);
 /// Time in which a relay batches acknowledgements before it passes them on.
-const BATCH_PAUSE: Duration = Duration::from_millis(100);
+const ACK_BATCH_PAUSE: Duration = Duration::from_millis(100);
 
 /// Passes received acknowledgements on, in batches.
 pub(crate) async fn flush_acks(node: &Rc<SpreadNode>) {
     loop {
         node.ack_batch.arrived().await;
-        tokio::time::sleep(BATCH_PAUSE).await;
+        tokio::time::sleep(ACK_BATCH_PAUSE).await;
         node.acks.note(node.ack_batch.take());
     }
 }
 
 /// Sends this daemon's acknowledgement to each relay, until the relay has accepted it.
-pub(crate) async fn keep_acks(node: &Rc<SpreadNode>) {
-    let mut status = node.held.subscribe();
+pub(crate) async fn deliver_acks(node: &Rc<SpreadNode>) {
+    let mut status = node.config.subscribe();
     let mut relays = node.relays.subscribe();
-    let mut told: BTreeMap<RelayId, ProxyAck> = BTreeMap::new();
+    let mut delivered: BTreeMap<RelayId, ProxyAck> = BTreeMap::new();
     let mut pause = RetryPause::new(FIRST_PAUSE, LONGEST_PAUSE);
     loop {
         let current = relays.borrow_and_update().relays.clone();
         let ack = own_ack(node, &status.borrow_and_update());
-        told.retain(|relay, _| current.contains(relay));
+        delivered.retain(|relay, _| current.contains(relay));
         if let Some(ack) = &ack {
-            let is_untold = |relay: &&RelayId| told.get(*relay) != Some(ack);
-            let untold: Vec<_> = current.iter().filter(is_untold).cloned().collect();
-            let results = join_all(untold.iter().map(|relay| tell_relay(node, relay, ack))).await;
-            for (relay, result) in untold.into_iter().zip(results) {
+            let is_undelivered = |relay: &&RelayId| delivered.get(*relay) != Some(ack);
+            let undelivered: Vec<_> = current.iter().filter(is_undelivered).cloned().collect();
+            let results =
+                join_all(undelivered.iter().map(|relay| send_ack(node, relay, ack))).await;
+            for (relay, result) in undelivered.into_iter().zip(results) {
                 match result {
-                    Ok(()) => drop(told.insert(relay, ack.clone())),
+                    Ok(()) => drop(delivered.insert(relay, ack.clone())),
                     Err(err) => log::debug!("spread: ack to {} failed: {err}.", relay.proxy),
                 }
             }
         }
-        let is_told = current.iter().all(|relay| told.get(relay) == ack.as_ref());
+        let is_delivered = current.iter().all(|relay| delivered.get(relay) == ack.as_ref());
         let retry = pause.next();
-        if is_told {
+        if is_delivered {
             pause.reset();
         }
         tokio::select! {
             changed = status.changed() => match changed {
-                Ok(()) => tokio::time::sleep(drawn(ACK_SPREAD)).await,
+                Ok(()) => tokio::time::sleep(random_up_to(MAX_ACK_DELAY)).await,
                 Err(_) => return,
             },
-            _ = relays.changed() => tokio::time::sleep(drawn(REACK_SPREAD)).await,
-            () = tokio::time::sleep(retry), if !is_told => (),
+            _ = relays.changed() => tokio::time::sleep(random_up_to(MAX_REACK_DELAY)).await,
+            () = tokio::time::sleep(retry), if !is_delivered => (),
         }
     }
 }
 
-fn own_ack(node: &SpreadNode, held: &crate::held::HeldStatus) -> Option<ProxyAck> {
-    if held.version == 0 && held.rejected.is_none() {
+/// Returns this daemon's acknowledgement; `None` while it has received no version.
+fn own_ack(node: &SpreadNode, status: &crate::held_config::HeldStatus) -> Option<ProxyAck> {
+    if status.version == 0 && status.rejected.is_none() {
         return None;
     }
     let own = node.members.own();
@@ -85,14 +88,15 @@
         proxy: own.proxy.clone(),
         incarnation: own.incarnation,
         data_centre: own.data_centre.clone(),
-        version: held.version,
-        since: held.since,
-        source: held.source.clone(),
-        rejected: held.rejected.clone(),
+        version: status.version,
+        since: status.since,
+        source: status.source.clone(),
+        rejected: status.rejected.clone(),
     })
 }
 
-async fn tell_relay(node: &Rc<SpreadNode>, relay: &RelayId, ack: &ProxyAck) -> Result<(), Error> {
+/// Sends an acknowledgement to one relay, or adds it to the own batch if this daemon is the relay.
+async fn send_ack(node: &Rc<SpreadNode>, relay: &RelayId, ack: &ProxyAck) -> Result<(), Error> {
     if relay.proxy == node.own_name {
         node.ack_batch.add(vec![ack.clone()]);
         return Ok(());
--- a/components/spread/src/auth.rs
+++ b/components/spread/src/auth.rs
@@ -19,6 +19,7 @@
     Callee,
 }
 
+/// Draws a random nonce.
 pub(crate) fn make_nonce() -> Nonce {
     rand::random()
 }
--- a/components/spread/src/backoff.rs
+++ b/components/spread/src/backoff.rs
@@ -44,6 +44,6 @@
 }
 
 /// Draws a pause between zero and `max`.
-pub(crate) fn drawn(most: Duration) -> Duration {
-    draw_between(Duration::ZERO, most, &mut rand::rng())
+pub(crate) fn random_up_to(max: Duration) -> Duration {
+    draw_between(Duration::ZERO, max, &mut rand::rng())
 }
--- a/components/spread/src/codec.rs
+++ b/components/spread/src/codec.rs
@@ -31,10 +31,11 @@
 const MAX_TEXT_BYTES: usize = 256;
 /// Largest subtree in bytes after decompression: several at the platform's limit of one megabyte.
 /// A few bytes from a faulty peer could otherwise decompress to fill the memory.
-const MAX_UNPACKED_BYTES: u64 = 8 << 20;
+const MAX_DECOMPRESSED_BYTES: u64 = 8 << 20;
 /// Longest stored reason of a rejection, in bytes. Reasons are for people; the rest is cut off.
 const MAX_REASON_BYTES: usize = 1_024;
 
+/// Encodes an update.
 pub(crate) fn write_update(
     update: &ConfigUpdate,
     mut builder: update::Builder<'_>,
@@ -42,7 +43,7 @@
     builder.set_version(update.version);
     builder.set_base(update.base);
     builder.set_root_hash(&update.root_hash);
-    builder.set_change(&pack(&update.change)?);
+    builder.set_change(&compress_json(&update.change)?);
     let mut trees = builder.reborrow().init_trees(update.trees.len() as u32);
     for (index, (team, tree)) in update.trees.iter().enumerate() {
         let mut builder = trees.reborrow().get(index as u32);
@@ -50,9 +51,9 @@
         builder.set_version(tree.tree_ref.version);
         builder.set_hash(&tree.tree_ref.hash);
         match &tree.content {
-            TreeContent::Whole(tree) => builder.set_whole(&pack(tree)?),
-            TreeContent::Writes(writes) => builder.set_writes(&pack(writes)?),
-            TreeContent::Held => builder.set_held(()),
+            TreeContent::Whole(tree) => builder.set_whole(&compress_json(tree)?),
+            TreeContent::Writes(writes) => builder.set_writes(&compress_json(writes)?),
+            TreeContent::Unchanged => builder.set_held(()),
         }
     }
     let mut removed = builder.init_removed(update.removed.len() as u32);
@@ -62,14 +63,19 @@
     Ok(())
 }
 
+/// Decodes an update.
+///
+/// # Errors
+///
+/// Fails if the message is malformed or exceeds a limit.
 pub(crate) fn read_update(reader: update::Reader<'_>) -> Result<ConfigUpdate, Error> {
     let mut trees = BTreeMap::new();
     check_length(reader.get_trees()?.len(), MAX_ITEMS)?;
     for tree in reader.get_trees()? {
         let content = match tree.which()? {
-            update::tree::Whole(body) => TreeContent::Whole(unpack(body?)?),
-            update::tree::Writes(body) => TreeContent::Writes(unpack(body?)?),
-            update::tree::Held(()) => TreeContent::Held,
+            update::tree::Whole(body) => TreeContent::Whole(decompress_json(body?)?),
+            update::tree::Writes(body) => TreeContent::Writes(decompress_json(body?)?),
+            update::tree::Held(()) => TreeContent::Unchanged,
         };
         let hash = read_text(tree.get_hash()?)?;
         let tree_ref = TreeRef { hash, version: tree.get_version() };
@@ -79,7 +85,7 @@
         version: reader.get_version(),
         base: reader.get_base(),
         root_hash: read_text(reader.get_root_hash()?)?,
-        change: unpack(reader.get_change()?)?,
+        change: decompress_json(reader.get_change()?)?,
         trees,
         removed: read_teams(reader.get_removed()?)?,
     })
@@ -90,6 +96,7 @@
     reader.iter().map(|team| read_text(team?)).collect()
 }
 
+/// Encodes the subtree hashes of a fetch request.
 pub(crate) fn write_hashes(hashes: &TreeHashes, builder: fetch_request::Builder<'_>) {
     let mut trees = builder.init_trees(hashes.len() as u32);
     for (index, (team, hash)) in hashes.iter().enumerate() {
@@ -99,6 +106,7 @@
     }
 }
 
+/// Decodes the subtree hashes of a fetch request.
 pub(crate) fn read_hashes(reader: fetch_request::Reader<'_>) -> Result<TreeHashes, Error> {
     let trees = reader.get_trees()?;
     check_length(trees.len(), MAX_ITEMS)?;
@@ -108,17 +116,20 @@
     trees.iter().map(read).collect()
 }
 
+/// Decodes the buckets of a record digest.
 pub(crate) fn read_buckets(reader: primitive_list::Reader<'_, u64>) -> Result<Vec<u64>, Error> {
     check_length(reader.len(), MAX_BUCKETS)?;
     Ok(reader.iter().collect())
 }
 
+/// Encodes the buckets of a record digest.
 pub(crate) fn write_buckets(buckets: &[u64], mut builder: primitive_list::Builder<'_, u64>) {
     for (index, bucket) in buckets.iter().enumerate() {
         builder.set(index as u32, *bucket);
     }
 }
 
+/// Encodes member records.
 pub(crate) fn write_members<'a>(
     records: impl Iterator<Item = &'a MemberRecord>,
     mut builder: struct_list::Builder<'_, member::Owned>,
@@ -155,6 +166,11 @@
     builder.set_is_ready(endpoint.status == EndpointStatus::Ready);
 }
 
+/// Decodes member records.
+///
+/// # Errors
+///
+/// Fails if a record is malformed or exceeds a limit.
 pub(crate) fn read_members(
     readers: struct_list::Reader<'_, member::Owned>,
 ) -> Result<Vec<MemberRecord>, Error> {
@@ -184,33 +200,35 @@
     })
 }
 
-pub(crate) fn write_words(
-    words: &[&MemberSuspicion],
+/// Encodes suspicions.
+pub(crate) fn write_suspicions(
+    suspicions: &[&MemberSuspicion],
     mut builder: struct_list::Builder<'_, suspicion::Owned>,
 ) {
-    for (index, word) in words.iter().enumerate() {
+    for (index, suspicion) in suspicions.iter().enumerate() {
         let mut builder = builder.reborrow().get(index as u32);
-        builder.set_proxy(&word.proxy);
-        builder.set_incarnation(word.incarnation);
-        builder.set_sequence(word.sequence);
-        builder.set_observer(&word.observer);
-        builder.set_round(word.round);
-        builder.set_is_withdrawn(word.is_withdrawn);
+        builder.set_proxy(&suspicion.proxy);
+        builder.set_incarnation(suspicion.incarnation);
+        builder.set_sequence(suspicion.sequence);
+        builder.set_observer(&suspicion.observer);
+        builder.set_round(suspicion.round);
+        builder.set_is_withdrawn(suspicion.is_withdrawn);
     }
 }
 
-pub(crate) fn read_words(
+/// Decodes suspicions.
+pub(crate) fn read_suspicions(
     readers: struct_list::Reader<'_, suspicion::Owned>,
 ) -> Result<Vec<MemberSuspicion>, Error> {
     check_length(readers.len(), MAX_ITEMS)?;
-    let read = |word: suspicion::Reader<'_>| {
+    let read = |suspicion: suspicion::Reader<'_>| {
         Ok(MemberSuspicion {
-            proxy: read_text(word.get_proxy()?)?,
-            incarnation: word.get_incarnation(),
-            sequence: word.get_sequence(),
-            observer: read_text(word.get_observer()?)?,
-            round: word.get_round(),
-            is_withdrawn: word.get_is_withdrawn(),
+            proxy: read_text(suspicion.get_proxy()?)?,
+            incarnation: suspicion.get_incarnation(),
+            sequence: suspicion.get_sequence(),
+            observer: read_text(suspicion.get_observer()?)?,
+            round: suspicion.get_round(),
+            is_withdrawn: suspicion.get_is_withdrawn(),
         })
     };
     readers.iter().map(read).collect()
@@ -230,6 +248,7 @@
     })
 }
 
+/// Decodes acknowledgements.
 pub(crate) fn read_acks(
     readers: struct_list::Reader<'_, ack::Owned>,
 ) -> Result<Vec<ProxyAck>, Error> {
@@ -237,6 +256,7 @@
     readers.iter().map(read_ack).collect()
 }
 
+/// Encodes an acknowledgement. A `rejected` version of zero means none.
 pub(crate) fn write_ack(ack: &ProxyAck, mut builder: ack::Builder<'_>) {
     builder.set_proxy(&ack.proxy);
     builder.set_incarnation(ack.incarnation);
@@ -278,14 +298,15 @@
     Ok(text.to_string()?)
 }
 
+/// Reads the reason of a rejection, cut off at [`MAX_REASON_BYTES`].
 fn read_reason(text: capnp::text::Reader<'_>) -> Result<String, Error> {
     let mut reason = text.to_string()?;
     reason.truncate(reason.floor_char_boundary(MAX_REASON_BYTES));
     Ok(reason)
 }
 
-fn check_length(found: u32, most: u32) -> Result<(), Error> {
-    if found > most {
+fn check_length(length: u32, max: u32) -> Result<(), Error> {
+    if length > max {
         return Err(Error::failed("list too long".to_owned()));
     }
     Ok(())
@@ -297,19 +318,20 @@
 
 /// Encodes a value as compressed JSON. Settings of one team repeat text, and a large change
 /// crosses every daemon's link several times.
-fn pack<T: Serialize>(value: &T) -> Result<Vec<u8>, Error> {
+fn compress_json<T: Serialize>(value: &T) -> Result<Vec<u8>, Error> {
     let json = serde_json::to_vec(value).map_err(|err| Error::failed(err.to_string()))?;
     let mut encoder = ZlibEncoder::new(Vec::new(), Compression::fast());
     encoder.write_all(&json)?;
     Ok(encoder.finish()?)
 }
 
-fn unpack<T: DeserializeOwned>(body: &[u8]) -> Result<T, Error> {
+/// Decodes compressed JSON of at most [`MAX_DECOMPRESSED_BYTES`].
+fn decompress_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, Error> {
     let mut json = Vec::new();
-    let mut decoder = ZlibDecoder::new(body).take(MAX_UNPACKED_BYTES + 1);
+    let mut decoder = ZlibDecoder::new(body).take(MAX_DECOMPRESSED_BYTES + 1);
     decoder.read_to_end(&mut json)?;
-    if json.len() as u64 > MAX_UNPACKED_BYTES {
-        return Err(Error::failed(format!("content is over {MAX_UNPACKED_BYTES} bytes")));
+    if json.len() as u64 > MAX_DECOMPRESSED_BYTES {
+        return Err(Error::failed(format!("content is over {MAX_DECOMPRESSED_BYTES} bytes")));
     }
     serde_json::from_slice(&json).map_err(|err| Error::failed(err.to_string()))
 }
--- a/components/spread/src/connect.rs
+++ b/components/spread/src/connect.rs
@@ -17,22 +17,22 @@
     node::SpreadNode,
     peer_capnp::{gate, peer},
     server::PeerServer,
-    session::{PeerSession, SessionLink},
+    session::{PeerSession, SharedConnectionState},
 };
 
 /// Time until a peer that does not accept a connection counts as unreachable.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time that a connection may take to authenticate. Authentication takes two round trips; a
 /// process that connects and sends nothing would otherwise occupy a file descriptor for ever.
-const PROOF_TIMEOUT: Duration = Duration::from_secs(3);
+const AUTH_TIMEOUT: Duration = Duration::from_secs(3);
 /// Maximum number of unauthenticated connections at once. A fleet restart brings a seed hundreds
 /// within a second, each for a few milliseconds; refused daemons come back after a jittered pause.
-const MAX_UNPROVEN: usize = 128;
+const MAX_UNAUTHENTICATED: usize = 128;
 /// Time that an orderly close may take before the connection is dropped.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Longest time of one call, even while its peer keeps sending. Other traffic of the peer must not
 /// keep a call alive whose answer will never arrive.
-const LONGEST_CALL: Duration = Duration::from_secs(10);
+const MAX_CALL_TIME: Duration = Duration::from_secs(10);
 /// Largest message from a peer in words of 8 bytes: 8 MB, the whole configuration of a fleet with
 /// several subtrees at the platform's limit of one megabyte. A larger message ends its connection.
 const MAX_MESSAGE_WORDS: usize = 1 << 20;
@@ -45,9 +45,10 @@
 /// A connection left open would never be used or closed by this side, and file descriptors would
 /// run out. The peer may also have stored it as the newest connection to this daemon, and every
 /// call over it would be refused, so that its heartbeats are missing although it runs.
-struct OpeningGuard(Option<SessionLink>);
+struct OpeningGuard(Option<SharedConnectionState>);
 
 impl OpeningGuard {
+    /// Keeps the connection open, once it is authenticated.
     fn keep(mut self) {
         self.0 = None;
     }
@@ -55,8 +56,8 @@
 
 impl Drop for OpeningGuard {
     fn drop(&mut self) {
-        if let Some(link) = &self.0 {
-            link.close();
+        if let Some(connection) = &self.0 {
+            connection.close();
         }
     }
 }
@@ -72,34 +73,38 @@
 ) -> Result<Rc<PeerSession>, Error> {
     let connect = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let stream = connect.map_err(|_| Error::overloaded("connect timed out".to_owned()))??;
-    let (mut system, link, allowance) = make_session(node, stream, Side::Client, None)?;
+    let (mut system, connection, allowance) = make_rpc_system(node, stream, Side::Client, None)?;
     let gate: gate::Client = system.bootstrap(Side::Server);
-    tokio::task::spawn_local(run_session(node.clone(), system, link.clone()));
-    let opening = OpeningGuard(Some(link.clone()));
-    let proved = tokio::time::timeout(PROOF_TIMEOUT, prove(node, gate, &link)).await;
-    let session = proved.map_err(|_| Error::overloaded("proof timed out".to_owned()))??;
+    tokio::task::spawn_local(run_session(node.clone(), system, connection.clone()));
+    let opening = OpeningGuard(Some(connection.clone()));
+    let authenticated =
+        tokio::time::timeout(AUTH_TIMEOUT, authenticate(node, gate, &connection)).await;
+    let session =
+        authenticated.map_err(|_| Error::overloaded("authentication timed out".to_owned()))??;
     opening.keep();
     allowance.lift();
     node.pool.add(session.clone());
     Ok(session)
 }
 
-async fn prove(
+/// Authenticates both sides: requests a challenge, sends this side's proof and the interface for
+/// calls back, and verifies the peer's proof.
+async fn authenticate(
     node: &Rc<SpreadNode>,
     gate: gate::Client,
-    link: &SessionLink,
+    connection: &SharedConnectionState,
 ) -> Result<Rc<PeerSession>, Error> {
     let secret = node.options.secret.as_bytes();
     let challenge = gate.challenge_request().send().promise.await?;
     let callee = challenge.get()?.get_nonce()?;
     let caller = make_nonce();
-    let back = Rc::new(PeerServer::new(node));
+    let callback_server = Rc::new(PeerServer::new(node));
     let mut request = gate.enter_request();
     let mut params = request.get();
     params.set_nonce(&caller);
     params.set_proof(&make_proof(secret, ProofSide::Caller, &caller, callee));
     params.set_proxy(&node.own_name);
-    params.set_peer(capnp_rpc::new_client_from_rc(back.clone()));
+    params.set_peer(capnp_rpc::new_client_from_rc(callback_server.clone()));
     let response = request.send().promise.await?;
     let response = response.get()?;
     // Without this check, a process that took over a peer's address could send us configuration.
@@ -107,48 +112,53 @@
         return Err(Error::failed("peer does not know the secret".to_owned()));
     }
     let proxy = codec::read_text(response.get_proxy()?)?;
-    let session = PeerSession::new(proxy, response.get_peer()?, link.clone());
-    back.open(&session);
+    let session = PeerSession::new(proxy, response.get_peer()?, connection.clone());
+    callback_server.set_session(&session);
     Ok(session)
 }
 
 /// Runs a connection that a peer opened, and closes it unless the peer authenticates in time.
 pub(crate) fn serve_session(node: &Rc<SpreadNode>, stream: TcpStream) {
-    if node.unproven.get() >= MAX_UNPROVEN {
-        log::warn!("spread: refused a connection, {MAX_UNPROVEN} have proved nothing yet.");
+    if node.unauthenticated.get() >= MAX_UNAUTHENTICATED {
+        log::warn!(
+            "spread: refused a connection, {MAX_UNAUTHENTICATED} have not authenticated yet."
+        );
         return;
     }
     let server = Rc::new(GateServer::new(node));
     let gate: gate::Client = capnp_rpc::new_client_from_rc(server.clone());
-    let (system, link, allowance) = match make_session(node, stream, Side::Server, Some(gate)) {
-        Ok(parts) => parts,
-        Err(err) => return log::debug!("spread: a session could not start: {err}."),
-    };
-    tokio::task::spawn_local(run_session(node.clone(), system, link.clone()));
-    let proven = server.attach(link.clone(), allowance);
-    node.unproven.set(node.unproven.get() + 1);
+    let (system, connection, allowance) =
+        match make_rpc_system(node, stream, Side::Server, Some(gate)) {
+            Ok(parts) => parts,
+            Err(err) => return log::debug!("spread: cannot set up a connection: {err}."),
+        };
+    tokio::task::spawn_local(run_session(node.clone(), system, connection.clone()));
+    let authentication = server.assign_connection(connection.clone(), allowance);
+    node.unauthenticated.set(node.unauthenticated.get() + 1);
     let node = node.clone();
     tokio::task::spawn_local(async move {
-        let is_proven = tokio::time::timeout(PROOF_TIMEOUT, proven).await;
-        node.unproven.set(node.unproven.get() - 1);
-        if !matches!(is_proven, Ok(Ok(()))) {
-            link.close();
+        let authenticated = tokio::time::timeout(AUTH_TIMEOUT, authentication).await;
+        node.unauthenticated.set(node.unauthenticated.get() - 1);
+        if !matches!(authenticated, Ok(Ok(()))) {
+            connection.close();
         }
     });
 }
 
-type SessionParts = (RpcSystem<Side>, SessionLink, Arc<ByteAllowance>);
+type SessionParts = (RpcSystem<Side>, SharedConnectionState, Arc<ByteAllowance>);
 
-fn make_session(
+/// Prepares the RPC system of one connection with byte counting and message limits.
+fn make_rpc_system(
     node: &Rc<SpreadNode>,
     stream: TcpStream,
     side: Side,
     gate: Option<gate::Client>,
 ) -> Result<SessionParts, Error> {
     stream.set_nodelay(true)?;
-    let allowance = ByteAllowance::unproven(side);
-    let link = SessionLink::default();
-    let stream = CountedStream::new(stream, node.meter.clone(), allowance.clone(), link.clone());
+    let allowance = ByteAllowance::unauthenticated(side);
+    let connection = SharedConnectionState::default();
+    let stream =
+        CountedStream::new(stream, node.meter.clone(), allowance.clone(), connection.clone());
     let (reader, writer) = tokio::io::split(stream);
     let options = ReaderOptions {
         traversal_limit_in_words: Some(MAX_MESSAGE_WORDS),
@@ -156,18 +166,22 @@
     };
     let network = VatNetwork::new(reader.compat(), writer.compat_write(), side, options);
     let system = RpcSystem::new(Box::new(network), gate.map(|gate| gate.client));
-    Ok((system, link, allowance))
+    Ok((system, connection, allowance))
 }
 
 /// Runs a connection until it ends or is to be closed.
-async fn run_session(node: Rc<SpreadNode>, mut system: RpcSystem<Side>, link: SessionLink) {
+async fn run_session(
+    node: Rc<SpreadNode>,
+    mut system: RpcSystem<Side>,
+    connection: SharedConnectionState,
+) {
     let disconnector = RefCell::new(Some(system.get_disconnector()));
     let result = tokio::select! {
         result = &mut system => {
-            link.is_lost.set(true);
+            connection.is_lost.set(true);
             result
         }
-        () = link.close.notified() => {
+        () = connection.close.notified() => {
             let closing = async {
                 if let Some(disconnector) = disconnector.take() {
                     // The connection ends either way, so an error of the disconnect has no effect.
@@ -179,17 +193,17 @@
         }
     };
     if let Err(err) = result {
-        log::debug!("spread: a session ended: {err}.");
+        log::debug!("spread: a connection ended with an error: {err}.");
     }
-    link.is_closed.set(true);
+    connection.is_closed.set(true);
     sweep_sessions(&node);
 }
 
 /// Closes unused connections and reports lost peers to the liveness monitor.
 pub(crate) fn sweep_sessions(node: &SpreadNode) {
     let swept = node.pool.sweep(&node.link_names());
-    node.stats.set_sessions(swept.open);
-    swept.lost.iter().for_each(|proxy| node.note_lost(proxy));
+    node.stats.set_connections(swept.open);
+    swept.lost_peers.iter().for_each(|proxy| node.note_connection_lost(proxy));
 }
 
 impl SpreadNode {
@@ -204,7 +218,7 @@
         // Another daemon may have taken over the address before its old owner's end is known.
         match session.proxy == proxy {
             true => Ok(session),
-            false => Err(Error::failed("another daemon answers there".to_owned())),
+            false => Err(Error::failed("another daemon answers at that address".to_owned())),
         }
     }
 
@@ -216,16 +230,16 @@
     pub(crate) async fn call<T>(
         self: &Rc<Self>,
         proxy: &str,
-        patience: Duration,
+        silence_limit: Duration,
         call: impl AsyncFnOnce(peer::Client) -> Result<T, Error>,
     ) -> Result<T, Error> {
         let attempt = async {
             let session = self.session(proxy).await?;
-            session.touch();
+            session.note_used();
             call(session.client.clone()).await
         };
-        let heard_at = || self.pool.get(proxy).map(|session| session.heard_at());
-        let result = within_silence(attempt, patience, heard_at).await;
+        let received_at = || self.pool.get(proxy).map(|session| session.received_at());
+        let result = await_until_silent(attempt, silence_limit, received_at).await;
         // After an error from the peer's handler the connection is healthy; after any other error
         // the next call uses a new one.
         if let Err(err) = &result
@@ -243,21 +257,24 @@
 /// Large answers over thin or busy links take longer than any fixed time limit that would still
 /// detect a silent peer soon. A call abandoned in mid-transfer is sent again from its start over
 /// the same link, which delays the version for all daemons behind it.
-async fn within_silence<T>(
+async fn await_until_silent<T>(
     call: impl Future<Output = Result<T, Error>>,
-    patience: Duration,
-    heard_at: impl Fn() -> Option<Instant>,
+    silence_limit: Duration,
+    received_at: impl Fn() -> Option<Instant>,
 ) -> Result<T, Error> {
-    let last = Instant::now() + patience.max(LONGEST_CALL);
-    let mut due = Instant::now() + patience;
+    let hard_deadline = Instant::now() + silence_limit.max(MAX_CALL_TIME);
+    let mut deadline = Instant::now() + silence_limit;
     tokio::pin!(call);
     loop {
-        if let Ok(result) = tokio::time::timeout_at(due, &mut call).await {
+        if let Ok(result) = tokio::time::timeout_at(deadline, &mut call).await {
             return result;
         }
-        let heard_at = heard_at().filter(|heard_at| *heard_at + patience > due);
-        due = match heard_at {
-            Some(heard_at) if due < last => last.min(heard_at + patience),
+        let received_at =
+            received_at().filter(|received_at| *received_at + silence_limit > deadline);
+        deadline = match received_at {
+            Some(received_at) if deadline < hard_deadline => {
+                hard_deadline.min(received_at + silence_limit)
+            }
             _ => return Err(Error::overloaded("call timed out".to_owned())),
         };
     }
--- a/components/spread/src/counted.rs
+++ b/components/spread/src/counted.rs
@@ -17,15 +17,16 @@
     net::TcpStream,
 };
 
-use crate::session::SessionLink;
+use crate::session::SharedConnectionState;
 
 /// Bytes that the connecting side may send before it has authenticated. A challenge and a proof
 /// take a few hundred; without the limit a foreign process could make a daemon buffer whole
 /// messages.
-const MAX_CALLER_BYTES: u64 = 8 * 1_024;
+const MAX_UNAUTHENTICATED_CALLER_BYTES: u64 = 8 * 1_024;
 /// The same for the accepting side. It authenticates with its last answer, and its first calls may
 /// follow in the same packet, before that answer is checked.
-const MAX_CALLEE_BYTES: u64 = 256 * 1_024;
+const MAX_UNAUTHENTICATED_CALLEE_BYTES: u64 = 256 * 1_024;
+/// Allowance of an authenticated connection.
 const UNBOUNDED: u64 = u64::MAX;
 
 /// Control bytes since the start of the process; TCP payload only.
@@ -61,10 +62,10 @@
 impl ByteAllowance {
     /// Creates the allowance of a connection whose peer has not authenticated; `side` is this
     /// daemon's role.
-    pub(crate) fn unproven(side: Side) -> Arc<Self> {
+    pub(crate) fn unauthenticated(side: Side) -> Arc<Self> {
         Arc::new(Self(AtomicU64::new(match side {
-            Side::Server => MAX_CALLER_BYTES,
-            Side::Client => MAX_CALLEE_BYTES,
+            Side::Server => MAX_UNAUTHENTICATED_CALLER_BYTES,
+            Side::Client => MAX_UNAUTHENTICATED_CALLEE_BYTES,
         })))
     }
 
@@ -78,7 +79,8 @@
         self.0.load(Ordering::Relaxed)
     }
 
-    fn spend(&self, count: u64) {
+    /// Deducts received bytes, unless the limit is lifted.
+    fn deduct(&self, count: u64) {
         let left = self.left();
         if left != UNBOUNDED {
             self.0.store(left.saturating_sub(count), Ordering::Relaxed);
@@ -91,17 +93,18 @@
     stream: TcpStream,
     meter: Arc<ControlMeter>,
     allowance: Arc<ByteAllowance>,
-    link: SessionLink,
+    connection: SharedConnectionState,
 }
 
 impl CountedStream {
+    /// Wraps a stream; `connection` records when bytes arrive.
     pub(crate) fn new(
         stream: TcpStream,
         meter: Arc<ControlMeter>,
         allowance: Arc<ByteAllowance>,
-        link: SessionLink,
+        connection: SharedConnectionState,
     ) -> Self {
-        Self { stream, meter, allowance, link }
+        Self { stream, meter, allowance, connection }
     }
 }
 
@@ -116,14 +119,14 @@
         if left == 0 {
             return Poll::Ready(Err(io::ErrorKind::PermissionDenied.into()));
         }
-        let most = left.min(buf.remaining());
-        let mut part = ReadBuf::new(buf.initialize_unfilled_to(most));
+        let limit = left.min(buf.remaining());
+        let mut part = ReadBuf::new(buf.initialize_unfilled_to(limit));
         ready!(Pin::new(&mut stream.stream).poll_read(cx, &mut part))?;
         let count = part.filled().len();
         buf.advance(count);
         stream.meter.received.fetch_add(count as u64, Ordering::Relaxed);
-        stream.allowance.spend(count as u64);
-        stream.link.note_heard();
+        stream.allowance.deduct(count as u64);
+        stream.connection.note_received();
         Poll::Ready(Ok(()))
     }
 }
--- a/components/spread/src/driver.rs
+++ b/components/spread/src/driver.rs
@@ -18,27 +18,27 @@
 };
 
 use crate::{
-    acks::{flush_acks, keep_acks},
+    acks::{deliver_acks, flush_acks},
     connect::serve_session,
     counted::ControlMeter,
-    fetch::fetch_wanted,
-    held::HeldConfig,
-    join::{JoinStage, join_fleet, keep_contacts},
+    fetch::run_fetches,
+    forward::forward_versions,
+    held_config::HeldConfig,
+    join::{JoinStage, join_fleet, maintain_contacts},
     link_board::LinkBoard,
-    links::keep_links,
-    neighbours::watch_neighbours,
-    news::pass_own_record,
+    links::maintain_links,
+    neighbours::monitor_neighbours,
     node::SpreadNode,
-    notices::pass_notices,
+    notices::send_notices,
     options::SpreadOptions,
-    orders::{ConfirmOutcome, FetchWant, PassOrder},
-    pass::pass_versions,
-    relays::keep_relays,
-    repair::repair_forever,
+    relays::maintain_relays,
+    repair::reconcile_repeatedly,
+    rumors::send_own_record,
     source::{AckSink, ConfigSource, ContactBook, NoticeBoard},
-    start::settle_start,
+    start::become_ready,
     state::{SpreadState, SpreadStats},
-    watch::{confirm_source, watch_source},
+    tasks::{ConfirmOutcome, FetchTask, ForwardTask},
+    watch::{serve_confirmations, watch_source},
 };
 
 /// Pause after the listener failed. It usually fails because file descriptors ran out, and the
@@ -46,11 +46,11 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(200);
 /// Longest wait for the control thread to end. It ends at its next await point; a thread that is
 /// blocked by a call that never returns must not keep the process alive.
-const STOP_TIME: Duration = Duration::from_millis(200);
+const STOP_TIMEOUT: Duration = Duration::from_millis(200);
 /// Time between checks whether the thread has ended.
-const STOP_LOOK: Duration = Duration::from_millis(2);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(2);
 /// Maximum number of queued fetches; versions beyond it are left to the next reconciliation.
-const MAX_WANTS: usize = 32;
+const MAX_QUEUED_FETCHES: usize = 32;
 
 /// Parts of the daemon that the control thread uses.
 pub struct SpreadParts {
@@ -82,21 +82,21 @@
 #[derive(Clone)]
 pub struct StateReader {
     stats: Arc<SpreadStats>,
-    held: Arc<HeldConfig>,
+    config: Arc<HeldConfig>,
 }
 
 impl StateReader {
     /// Returns the current state.
     pub fn state(&self) -> SpreadState {
-        self.stats.state(self.held.is_ready())
+        self.stats.state(self.config.is_ready())
     }
 }
 
 /// Receiving ends of the queues between tasks.
-struct QueueEnds {
-    passes: mpsc::UnboundedReceiver<PassOrder>,
-    wants: mpsc::Receiver<FetchWant>,
-    confirms: mpsc::UnboundedReceiver<oneshot::Sender<ConfirmOutcome>>,
+struct QueueReceivers {
+    forward_tasks: mpsc::UnboundedReceiver<ForwardTask>,
+    fetch_tasks: mpsc::Receiver<FetchTask>,
+    confirm_requests: mpsc::UnboundedReceiver<oneshot::Sender<ConfirmOutcome>>,
 }
 
 /// Starts the control thread.
@@ -110,19 +110,19 @@
     parts: SpreadParts,
 ) -> std::io::Result<SpreadHandle> {
     listener.set_nonblocking(true)?;
-    let (stop, stopped) = oneshot::channel();
+    let (stop, stop_signal) = oneshot::channel();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let stats = Arc::new(SpreadStats::default());
-    let reader = StateReader { stats: stats.clone(), held: parts.held.clone() };
-    let (ending, ended) = watch::channel(false);
+    let reader = StateReader { stats: stats.clone(), config: parts.held.clone() };
+    let (end_sender, ended) = watch::channel(false);
     let run = move || {
         // Dropped at the end of the thread, including a panic.
-        let _ending = ending;
+        let _end_sender = end_sender;
         let tasks = LocalSet::new();
         tasks.block_on(&runtime, async move {
             tokio::select! {
-                () = run_node(options, listener, parts, stats) => (),
-                _ = stopped => (),
+                () = run_tasks(options, listener, parts, stats) => (),
+                _ = stop_signal => (),
             }
         });
     };
@@ -148,12 +148,14 @@
     pub fn stop(&mut self) {
         drop(self.stop.take());
         let Some(thread) = self.thread.take() else { return };
-        let until = Instant::now() + STOP_TIME;
-        while !thread.is_finished() && Instant::now() < until {
-            std::thread::sleep(STOP_LOOK);
+        let deadline = Instant::now() + STOP_TIMEOUT;
+        while !thread.is_finished() && Instant::now() < deadline {
+            std::thread::sleep(STOP_POLL_INTERVAL);
         }
         match thread.is_finished() {
-            false => log::error!("spread: the control thread does not end; it is left behind."),
+            false => log::error!(
+                "spread: the control thread did not end in time; the process ends without it."
+            ),
             true if thread.join().is_err() => log::error!("spread: the control thread panicked."),
             true => (),
         }
@@ -166,7 +168,8 @@
     }
 }
 
-async fn run_node(
+/// Runs all tasks of the control thread; they end only when the thread is stopped.
+async fn run_tasks(
     options: SpreadOptions,
     listener: std::net::TcpListener,
     parts: SpreadParts,
@@ -176,47 +179,48 @@
         Ok(listener) => listener,
         Err(err) => return log::error!("spread: cannot listen: {err}."),
     };
-    let (node, ends) = make_node(options, parts, stats);
-    let stage = watch::Sender::new(JoinStage::Trying);
+    let (node, receivers) = make_node(options, parts, stats);
+    let stage = watch::Sender::new(JoinStage::Pending);
     tokio::join!(
         accept_peers(&node, listener),
         join_fleet(&node, &stage),
-        settle_start(&node, stage.subscribe()),
-        keep_contacts(&node),
-        keep_relays(&node),
-        keep_links(&node),
-        watch_neighbours(&node),
-        pass_own_record(&node),
-        pass_notices(&node),
+        become_ready(&node, stage.subscribe()),
+        maintain_contacts(&node),
+        maintain_relays(&node),
+        maintain_links(&node),
+        monitor_neighbours(&node),
+        send_own_record(&node),
+        send_notices(&node),
         watch_source(&node),
-        confirm_source(&node, ends.confirms),
-        pass_versions(&node, ends.passes),
-        fetch_wanted(&node, ends.wants),
-        repair_forever(&node),
-        keep_acks(&node),
+        serve_confirmations(&node, receivers.confirm_requests),
+        forward_versions(&node, receivers.forward_tasks),
+        run_fetches(&node, receivers.fetch_tasks),
+        reconcile_repeatedly(&node),
+        deliver_acks(&node),
         flush_acks(&node),
     );
 }
 
+/// Creates the shared state and the queues between tasks.
 fn make_node(
     options: SpreadOptions,
     parts: SpreadParts,
     stats: Arc<SpreadStats>,
-) -> (Rc<SpreadNode>, QueueEnds) {
-    let (passes, pass_end) = mpsc::unbounded_channel();
-    let (wants, want_end) = mpsc::channel(MAX_WANTS);
-    let (confirms, confirm_end) = mpsc::unbounded_channel();
+) -> (Rc<SpreadNode>, QueueReceivers) {
+    let (forward_tasks, forward_receiver) = mpsc::unbounded_channel();
+    let (fetch_tasks, fetch_receiver) = mpsc::channel(MAX_QUEUED_FETCHES);
+    let (confirm_requests, confirm_receiver) = mpsc::unbounded_channel();
     let own = parts.members.own();
     let monitor = MonitorOptions { suspect: options.suspect_after, ..MonitorOptions::default() };
     let monitor = LivenessMonitor::new(own.proxy.clone(), own.incarnation, monitor);
     let node = SpreadNode {
         own_name: own.proxy.clone(),
-        start: Instant::now(),
-        held: parts.held,
+        started_at: Instant::now(),
+        config: parts.held,
         members: parts.members,
         source: parts.source,
         source_outage: OutageLog::new("spread", "the configuration source"),
-        freshness: RefCell::new(FreshnessBook::new(&own.proxy, options.look_options())),
+        freshness: RefCell::new(FreshnessBook::new(&own.proxy, options.takeover_options())),
         contacts: parts.contacts,
         acks: parts.acks,
         ack_batch: Default::default(),
@@ -224,22 +228,27 @@
         meter: parts.meter,
         stats,
         pool: Default::default(),
-        unproven: Cell::new(0),
+        unauthenticated: Cell::new(0),
         relays: watch::Sender::default(),
         links: RefCell::new(LinkBoard::new(monitor)),
-        places: Arc::new(Semaphore::new(options.max_fetches)),
-        passes,
-        wants,
-        confirms,
+        fetch_slots: Arc::new(Semaphore::new(options.max_fetches)),
+        forward_tasks,
+        fetch_tasks,
+        confirm_requests,
         last_push: RefCell::default(),
-        announced: Cell::new(0),
-        expected: Cell::new(0),
+        last_announced: Cell::new(0),
+        scheduled_fetch: Cell::new(0),
         options,
     };
-    let ends = QueueEnds { passes: pass_end, wants: want_end, confirms: confirm_end };
-    (Rc::new(node), ends)
+    let receivers = QueueReceivers {
+        forward_tasks: forward_receiver,
+        fetch_tasks: fetch_receiver,
+        confirm_requests: confirm_receiver,
+    };
+    (Rc::new(node), receivers)
 }
 
+/// Accepts connections of peers.
 async fn accept_peers(node: &Rc<SpreadNode>, listener: TcpListener) {
     loop {
         match listener.accept().await {
--- a/components/spread/src/fetch.rs
+++ b/components/spread/src/fetch.rs
@@ -10,15 +10,15 @@
 use tokio::sync::mpsc;
 
 use crate::{
-    backoff::{RetryPause, drawn, jittered},
+    backoff::{RetryPause, jittered, random_up_to},
     codec,
-    held::OfferOutcome,
-    marks::{RootMark, root_mark},
+    hash_prefix::{RootHashPrefix, root_hash_prefix},
+    held_config::OfferOutcome,
     node::{CALL_TIMEOUT, SpreadNode},
     options::PassMode,
-    orders::{FetchWant, VersionOrigin},
     peer_capnp::{fetch_answer, peer},
     state::CallKind,
+    tasks::{FetchTask, VersionOrigin},
     update::{TreeHashes, apply_update, tree_hashes},
 };
 
@@ -26,6 +26,7 @@
 const MAX_TRIES: usize = 6;
 /// First and longest pause after a failed try. The cap keeps all tries within a few seconds.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
+/// Longest pause after a failed try.
 const LONGEST_PAUSE: Duration = Duration::from_secs(1);
 /// Mean time for which a version seen in a heartbeat is left to the tree. Without it every push
 /// would also be fetched by whichever daemon sees a heartbeat first.
@@ -44,6 +45,7 @@
     pub(crate) is_away: bool,
     /// The peer itself is ready.
     pub(crate) is_ready: bool,
+    /// The result for the version.
     pub(crate) outcome: FetchOutcome,
 }
 
@@ -51,37 +53,43 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FetchOutcome {
     /// The peer's version or a newer one is held here.
-    Held,
+    UpToDate,
     /// The peer's version fails validation here.
-    Refused,
+    Rejected,
     /// The peer serves too many fetches; it asks for this pause.
     Busy(Duration),
     /// The peer needs the hashes of the subtrees held here.
-    NeedsTrees,
+    NeedsHashes,
 }
 
 impl SpreadNode {
     /// Queues the fetch of a version. If the queue is full, the version is left to the next
     /// reconciliation.
-    pub(crate) fn want(&self, want: FetchWant) {
-        if self.lacks(want.version, want.mark) {
-            let _ = self.wants.try_send(want);
+    pub(crate) fn queue_fetch(&self, task: FetchTask) {
+        if self.is_missing(task.version, task.hash_prefix) {
+            let _ = self.fetch_tasks.try_send(task);
         }
     }
 
     /// Compares a peer's version from a heartbeat or a reconciliation with the held one, and
     /// schedules a fetch in case the tree does not deliver it.
-    pub(crate) fn note_version(self: &Rc<Self>, from: &str, version: Version, mark: RootMark) {
-        let (newest, newest_mark) = self.held.newest_mark();
-        if version == newest && mark != newest_mark && newest > 0 {
+    pub(crate) fn note_version(
+        self: &Rc<Self>,
+        from: &str,
+        version: Version,
+        hash_prefix: RootHashPrefix,
+    ) {
+        let (newest, newest_prefix) = self.config.newest_id();
+        if version == newest && hash_prefix != newest_prefix && newest > 0 {
             return self.report_diverged(version, from);
         }
-        if !self.lacks(version, mark) || self.expected.get() >= version {
+        if !self.is_missing(version, hash_prefix) || self.scheduled_fetch.get() >= version {
             return;
         }
-        self.expected.set(version);
-        let want = FetchWant { version, mark, from: from.to_owned(), origin: VersionOrigin::Found };
-        let is_stale = self.freshness.borrow().is_stale(self.start.elapsed());
+        self.scheduled_fetch.set(version);
+        let task =
+            FetchTask { version, hash_prefix, from: from.to_owned(), origin: VersionOrigin::Found };
+        let is_stale = self.freshness.borrow().is_stale(self.started_at.elapsed());
         let grace = match self.options.mode {
             // No daemon of this data centre reaches the source, so no tree will deliver the
             // version.
@@ -92,13 +100,14 @@
         let node = self.clone();
         tokio::task::spawn_local(async move {
             tokio::time::sleep(jittered(grace)).await;
-            node.expected.set(0);
-            node.want(want);
+            node.scheduled_fetch.set(0);
+            node.queue_fetch(task);
         });
     }
 
-    fn lacks(&self, version: Version, mark: RootMark) -> bool {
-        version > self.held.newest_mark().0 && !self.held.is_refused(version, mark)
+    /// Returns whether a version is newer than the held one and was not rejected.
+    fn is_missing(&self, version: Version, hash_prefix: RootHashPrefix) -> bool {
+        version > self.config.newest_id().0 && !self.config.was_rejected(version, hash_prefix)
     }
 
     /// Fetches a peer's version if it is newer. With `confirm` a peer that is a relay reads the
@@ -109,15 +118,17 @@
         confirm: bool,
         origin: &VersionOrigin,
     ) -> Result<FetchReply, Error> {
-        let base = self.held.newest();
+        let base = self.config.newest();
         let reply = self.fetch_once(from, confirm, &base, &TreeHashes::new(), origin).await?;
-        if reply.outcome != FetchOutcome::NeedsTrees {
+        if reply.outcome != FetchOutcome::NeedsHashes {
             return Ok(reply);
         }
         let again = self.fetch_once(from, false, &base, &tree_hashes(&base), origin).await?;
         Ok(FetchReply { outcome: again.outcome, ..reply })
     }
 
+    /// Sends one fetch request; `hashes` is empty in the first request of a fetch, and names the
+    /// held subtrees after the answer `needTrees`.
     async fn fetch_once(
         self: &Rc<Self>,
         from: &str,
@@ -130,14 +141,14 @@
             let mut request = peer.fetch_request();
             let mut params = request.get().init_request();
             params.set_held(base.version());
-            params.set_held_mark(root_mark(&base.root.hash()));
+            params.set_held_mark(root_hash_prefix(&base.root.hash()));
             params.set_confirm(confirm);
             codec::write_hashes(hashes, params);
             self.stats.sent(CallKind::Fetch, request.get().into_reader().total_size()?);
             let response = request.send().promise.await?;
             let answer = response.get()?.get_answer()?;
             self.stats.received(CallKind::Fetch, answer.total_size()?);
-            let outcome = self.take_answer(answer, base, from, origin)?;
+            let outcome = self.apply_answer(answer, base, from, origin)?;
             Ok(FetchReply {
                 is_fresh: answer.get_is_fresh(),
                 is_away: answer.get_is_away(),
@@ -148,7 +159,8 @@
         self.call(from, CALL_TIMEOUT, call).await
     }
 
-    fn take_answer(
+    /// Applies a fetch answer to `base` and offers the result.
+    fn apply_answer(
         &self,
         answer: fetch_answer::Reader<'_>,
         base: &ConfigSnapshot,
@@ -156,8 +168,8 @@
         origin: &VersionOrigin,
     ) -> Result<FetchOutcome, Error> {
         let update = match answer.which()? {
-            fetch_answer::Same(()) => return Ok(FetchOutcome::Held),
-            fetch_answer::NeedTrees(()) => return Ok(FetchOutcome::NeedsTrees),
+            fetch_answer::Same(()) => return Ok(FetchOutcome::UpToDate),
+            fetch_answer::NeedTrees(()) => return Ok(FetchOutcome::NeedsHashes),
             fetch_answer::BusyMillis(pause) => {
                 let pause = Duration::from_millis(pause.into()).min(MAX_BUSY_PAUSE);
                 return Ok(FetchOutcome::Busy(pause));
@@ -169,51 +181,53 @@
             Error::failed(err.to_string())
         })?;
         match self.offer(snapshot, from, origin.clone()) {
-            OfferOutcome::Rejected(_) => Ok(FetchOutcome::Refused),
-            _ => Ok(FetchOutcome::Held),
+            OfferOutcome::Rejected(_) => Ok(FetchOutcome::Rejected),
+            _ => Ok(FetchOutcome::UpToDate),
         }
     }
 }
 
 /// Runs queued fetches, one at a time.
-pub(crate) async fn fetch_wanted(node: &Rc<SpreadNode>, mut wants: mpsc::Receiver<FetchWant>) {
-    while let Some(want) = wants.recv().await {
-        fetch_version(node, want).await;
+pub(crate) async fn run_fetches(node: &Rc<SpreadNode>, mut tasks: mpsc::Receiver<FetchTask>) {
+    while let Some(task) = tasks.recv().await {
+        fetch_version(node, task).await;
     }
 }
 
 /// Retries until the version is held: first at the peer that holds it, then at random daemons of
 /// the data centre, as the first peer may have died since.
-async fn fetch_version(node: &Rc<SpreadNode>, want: FetchWant) {
+async fn fetch_version(node: &Rc<SpreadNode>, task: FetchTask) {
     let mut pause = RetryPause::new(FIRST_PAUSE, LONGEST_PAUSE);
-    let mut from = want.from;
+    let mut from = task.from;
     for _ in 0..MAX_TRIES {
-        if !node.lacks(want.version, want.mark) {
+        if !node.is_missing(task.version, task.hash_prefix) {
             return;
         }
-        match node.fetch(&from, false, &want.origin).await.map(|reply| reply.outcome) {
-            Ok(FetchOutcome::Refused) => return,
-            Ok(FetchOutcome::Busy(busy)) => tokio::time::sleep(busy + drawn(busy)).await,
-            Ok(_) if !node.lacks(want.version, want.mark) => return,
+        match node.fetch(&from, false, &task.origin).await.map(|reply| reply.outcome) {
+            Ok(FetchOutcome::Rejected) => return,
+            Ok(FetchOutcome::Busy(busy_pause)) => {
+                tokio::time::sleep(busy_pause + random_up_to(busy_pause)).await
+            }
+            Ok(_) if !node.is_missing(task.version, task.hash_prefix) => return,
             Ok(_) => tokio::time::sleep(pause.next()).await,
             Err(err) => {
                 log::info!("spread: fetch from {from} failed: {err}.");
                 tokio::time::sleep(pause.next()).await;
             }
         }
-        from = node.pick_near().unwrap_or(from);
+        from = node.pick_nearby().unwrap_or(from);
     }
 }
 
 impl SpreadNode {
     /// Picks a random other daemon of this data centre, or of any data centre if there is none.
-    fn pick_near(&self) -> Option<ProxyId> {
+    fn pick_nearby(&self) -> Option<ProxyId> {
         let data_centre = &self.members.own().data_centre;
-        let others = self.others();
-        let near: Vec<_> =
+        let others = self.other_members();
+        let local: Vec<_> =
             others.iter().filter(|record| record.data_centre == *data_centre).collect();
         let mut rng = rand::rng();
-        let chosen = near.choose(&mut rng).copied().or_else(|| others.choose(&mut rng));
+        let chosen = local.choose(&mut rng).copied().or_else(|| others.choose(&mut rng));
         chosen.map(|record| record.proxy.clone())
     }
 }
--- a/components/spread/src/pass.rs
+++ b/components/spread/src/forward.rs
@@ -12,23 +12,23 @@
 
 use crate::{
     codec,
-    marks::{RootMark, root_mark},
+    hash_prefix::{RootHashPrefix, root_hash_prefix},
     node::SpreadNode,
     options::PassMode,
-    orders::{PassOrder, VersionOrigin},
     peer_capnp::update,
     state::CallKind,
+    tasks::{ForwardTask, VersionOrigin},
     update::make_update,
 };
 
 /// Time without a byte from a child after which it counts as failed and its children are served in
 /// its place. A healthy child answers in milliseconds, and the whole tree must finish within
 /// seconds even if one daemon of each layer is paused.
-const PASS_TIMEOUT: Duration = Duration::from_millis(1_500);
+const FORWARD_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Delay of the second relay after the first one; the third relay waits twice as long. A data
 /// centre's tree takes tens of milliseconds, so afterwards only the daemons that a failed one cut
 /// off still lack the version, and to all others an announcement costs a few unneeded bytes.
-const BACKUP_DELAY: Duration = Duration::from_millis(300);
+const BACKUP_RELAY_DELAY: Duration = Duration::from_millis(300);
 
 /// Largest update that is pushed, in words: 16 kB. All children receive theirs at once, so a
 /// larger one would fill a thin link for as long as 6 copies take. It is announced instead, and
@@ -38,11 +38,11 @@
 /// How long relays batch changes in announce mode. Operators apply changes in series, and
 /// announcing saves bytes when one fetch covers several of them: a single small change costs about
 /// the same in both modes.
-const GATHER_DELAY: Duration = Duration::from_secs(1);
+const ANNOUNCE_BATCH_DELAY: Duration = Duration::from_secs(1);
 
 /// What is sent to the children in the tree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PassStyle {
+pub enum ForwardKind {
     /// The change itself.
     Push,
     /// The version's number and hash only.
@@ -51,9 +51,9 @@
 
 /// How a new version is forwarded.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PassPlan {
+pub struct ForwardPlan {
     /// What is sent to the children.
-    pub style: PassStyle,
+    pub kind: ForwardKind,
     /// The daemon at which the tree begins.
     pub root: ProxyId,
     /// Delay before sending.
@@ -69,29 +69,30 @@
 /// fail to, and several of them may do so at once, so each announces. A version found by
 /// reconciliation or at the start is usually missing only here: pushing it would send the whole
 /// data centre what it already holds.
-pub fn plan_pass(
+pub fn plan_forward(
     origin: &VersionOrigin,
     own: &ProxyId,
     rank: Option<usize>,
     mode: PassMode,
-) -> PassPlan {
-    let at_once = |style: PassStyle, root: &ProxyId| PassPlan {
-        style,
+) -> ForwardPlan {
+    let without_delay = |kind: ForwardKind, root: &ProxyId| ForwardPlan {
+        kind,
         root: root.clone(),
         delay: Duration::ZERO,
     };
-    let backup_delay = BACKUP_DELAY * rank.unwrap_or_default() as u32;
+    let backup_delay = BACKUP_RELAY_DELAY * rank.unwrap_or_default() as u32;
     match origin {
-        VersionOrigin::Source if mode == PassMode::Announce => {
-            PassPlan { delay: GATHER_DELAY + backup_delay, ..at_once(PassStyle::Announce, own) }
-        }
-        VersionOrigin::Source if rank == Some(0) => at_once(PassStyle::Push, own),
+        VersionOrigin::Source if mode == PassMode::Announce => ForwardPlan {
+            delay: ANNOUNCE_BATCH_DELAY + backup_delay,
+            ..without_delay(ForwardKind::Announce, own)
+        },
+        VersionOrigin::Source if rank == Some(0) => without_delay(ForwardKind::Push, own),
         VersionOrigin::Source => {
-            PassPlan { delay: backup_delay, ..at_once(PassStyle::Announce, own) }
+            ForwardPlan { delay: backup_delay, ..without_delay(ForwardKind::Announce, own) }
         }
-        VersionOrigin::Pushed { root } => at_once(PassStyle::Push, root),
-        VersionOrigin::Announced { root } => at_once(PassStyle::Announce, root),
-        VersionOrigin::Found => at_once(PassStyle::Announce, own),
+        VersionOrigin::Pushed { root } => without_delay(ForwardKind::Push, root),
+        VersionOrigin::Announced { root } => without_delay(ForwardKind::Announce, root),
+        VersionOrigin::Found => without_delay(ForwardKind::Announce, own),
     }
 }
 
@@ -99,44 +100,45 @@
 type UpdateMessage = TypedBuilder<update::Owned>;
 
 /// Payload sent to the children.
-enum PassContent {
-    Change(UpdateMessage),
-    Number,
+enum ForwardPayload {
+    Update(UpdateMessage),
+    Announcement,
 }
 
 /// State shared by all calls that forward one version.
-struct PassRun {
+struct ForwardRun {
     node: Rc<SpreadNode>,
     tree: PushTree,
     root: ProxyId,
     version: Version,
-    mark: RootMark,
-    content: PassContent,
+    hash_prefix: RootHashPrefix,
+    payload: ForwardPayload,
 }
 
 /// Forwards each version in its own task, so that a paused child does not delay the next version.
-pub(crate) async fn pass_versions(
+pub(crate) async fn forward_versions(
     node: &Rc<SpreadNode>,
-    mut orders: mpsc::UnboundedReceiver<PassOrder>,
+    mut tasks: mpsc::UnboundedReceiver<ForwardTask>,
 ) {
-    while let Some(order) = orders.recv().await {
-        tokio::task::spawn_local(pass_version(node.clone(), order));
+    while let Some(task) = tasks.recv().await {
+        tokio::task::spawn_local(forward_version(node.clone(), task));
     }
 }
 
-async fn pass_version(node: Rc<SpreadNode>, order: PassOrder) {
+/// Forwards one version after the delay of its plan.
+async fn forward_version(node: Rc<SpreadNode>, task: ForwardTask) {
     let rank = node.relays.borrow().rank;
-    let plan = plan_pass(&order.origin, &node.own_name, rank, node.options.mode);
+    let plan = plan_forward(&task.origin, &node.own_name, rank, node.options.mode);
     tokio::time::sleep(plan.delay).await;
-    let mut newest = order.newest;
+    let mut newest = task.newest;
     if !plan.delay.is_zero() {
         // One announcement covers all versions that arrive during the delay. It must not wait for
         // a quiet period: under steady changes none would ever be sent.
-        if node.announced.get() >= newest.version() {
+        if node.last_announced.get() >= newest.version() {
             return;
         }
-        newest = node.held.newest();
-        node.announced.set(newest.version());
+        newest = node.config.newest();
+        node.last_announced.set(newest.version());
     }
     let view = node.view();
     let data_centre = &node.members.own().data_centre;
@@ -145,53 +147,58 @@
     if children.is_empty() {
         return;
     }
-    let content = match plan.style {
-        PassStyle::Push => make_content(&order.base, &newest),
-        PassStyle::Announce => PassContent::Number,
+    let payload = match plan.kind {
+        ForwardKind::Push => make_payload(&task.base, &newest),
+        ForwardKind::Announce => ForwardPayload::Announcement,
     };
-    let (version, mark) = (newest.version(), root_mark(&newest.root.hash()));
-    let run = PassRun { node, tree, root: plan.root, version, mark, content };
-    join_all(children.into_iter().map(|child| run.serve(child, &run.content))).await;
+    let (version, hash_prefix) = (newest.version(), root_hash_prefix(&newest.root.hash()));
+    let run = ForwardRun { node, tree, root: plan.root, version, hash_prefix, payload };
+    join_all(children.into_iter().map(|child| run.send_to(child, &run.payload))).await;
 }
 
 /// Encodes a change for a push, or falls back to an announcement if it is too large.
-fn make_content(base: &ConfigSnapshot, newest: &ConfigSnapshot) -> PassContent {
+fn make_payload(base: &ConfigSnapshot, newest: &ConfigSnapshot) -> ForwardPayload {
     let mut message = UpdateMessage::new_default();
     let encode = |message: &mut UpdateMessage| {
         codec::write_update(&make_update(base, newest), message.init_root())?;
         message.get_root_as_reader()?.total_size()
     };
     match encode(&mut message) {
-        Ok(size) if size.word_count <= MAX_PUSH_WORDS => PassContent::Change(message),
-        Ok(_) => PassContent::Number,
+        Ok(size) if size.word_count <= MAX_PUSH_WORDS => ForwardPayload::Update(message),
+        Ok(_) => ForwardPayload::Announcement,
         Err(err) => {
             log::error!("spread: version {} cannot be encoded: {err}.", newest.version());
-            PassContent::Number
+            ForwardPayload::Announcement
         }
     }
 }
 
-impl PassRun {
+impl ForwardRun {
     /// Sends to a child, and to its children if it fails. Otherwise a daemon that dies during a
     /// push leaves its whole subtree to the slower reconciliation.
     ///
     /// The children of a failed daemon get announcements: a child also times out when this
     /// daemon's own link is full, and six more copies for each failure would fill it further.
-    fn serve<'a>(&'a self, child: ProxyId, content: &'a PassContent) -> LocalBoxFuture<'a, ()> {
+    fn send_to<'a>(
+        &'a self,
+        child: ProxyId,
+        payload: &'a ForwardPayload,
+    ) -> LocalBoxFuture<'a, ()> {
         Box::pin(async move {
-            let result = match content {
-                PassContent::Change(message) => self.push(&child, message).await,
-                PassContent::Number => self.announce(&child).await,
+            let result = match payload {
+                ForwardPayload::Update(message) => self.push(&child, message).await,
+                ForwardPayload::Announcement => self.announce(&child).await,
             };
             if let Err(err) = result {
-                log::info!("spread: cannot pass version {} to {child}: {err}.", self.version);
-                let adopted = self.tree.children(&child);
-                let serve = |child| self.serve(child, &PassContent::Number);
-                join_all(adopted.into_iter().map(serve)).await;
+                log::info!("spread: cannot forward version {} to {child}: {err}.", self.version);
+                let orphans = self.tree.children(&child);
+                let send = |child| self.send_to(child, &ForwardPayload::Announcement);
+                join_all(orphans.into_iter().map(send)).await;
             }
         })
     }
 
+    /// Pushes the update to a child.
     async fn push(&self, child: &str, message: &UpdateMessage) -> Result<(), Error> {
         let node = &self.node;
         let call = async |peer: crate::peer_capnp::peer::Client| {
@@ -201,19 +208,20 @@
             node.stats.sent(CallKind::Push, request.get().into_reader().total_size()?);
             request.send().promise.await.map(drop)
         };
-        node.call(child, PASS_TIMEOUT, call).await
+        node.call(child, FORWARD_TIMEOUT, call).await
     }
 
+    /// Announces the version to a child.
     async fn announce(&self, child: &str) -> Result<(), Error> {
         let node = &self.node;
         let call = async |peer: crate::peer_capnp::peer::Client| {
             let mut request = peer.announce_request();
             request.get().set_version(self.version);
-            request.get().set_root_hash(self.mark);
+            request.get().set_root_hash(self.hash_prefix);
             request.get().set_root(&self.root);
             node.stats.sent(CallKind::Announce, request.get().into_reader().total_size()?);
             request.send().promise.await.map(drop)
         };
-        node.call(child, PASS_TIMEOUT, call).await
+        node.call(child, FORWARD_TIMEOUT, call).await
     }
 }
--- a/components/spread/src/gate.rs
+++ b/components/spread/src/gate.rs
@@ -18,14 +18,14 @@
     node::SpreadNode,
     peer_capnp::gate,
     server::PeerServer,
-    session::{PeerSession, SessionLink},
+    session::{PeerSession, SharedConnectionState},
 };
 
 /// The connection that a gate server belongs to, and the channel that reports its authentication.
-struct GateLink {
-    link: SessionLink,
+struct GateConnection {
+    connection: SharedConnectionState,
     allowance: Arc<ByteAllowance>,
-    proven: oneshot::Sender<()>,
+    authenticated: oneshot::Sender<()>,
 }
 
 /// Answers an unauthenticated connection and exchanges the `Peer` interface for a valid proof.
@@ -33,24 +33,29 @@
     node: Weak<SpreadNode>,
     // Taken by the first attempt, so that a proof cannot be replayed in the same session either.
     nonce: RefCell<Option<Nonce>>,
-    link: RefCell<Option<GateLink>>,
+    connection: RefCell<Option<GateConnection>>,
 }
 
 impl GateServer {
+    /// Creates a gate server without a connection.
     pub(crate) fn new(node: &Rc<SpreadNode>) -> Self {
-        Self { node: Rc::downgrade(node), nonce: RefCell::default(), link: RefCell::default() }
+        Self {
+            node: Rc::downgrade(node),
+            nonce: RefCell::default(),
+            connection: RefCell::default(),
+        }
     }
 
     /// Assigns the gate to its connection and returns a receiver that resolves once the peer has
     /// authenticated.
-    pub(crate) fn attach(
+    pub(crate) fn assign_connection(
         &self,
-        link: SessionLink,
+        connection: SharedConnectionState,
         allowance: Arc<ByteAllowance>,
     ) -> oneshot::Receiver<()> {
-        let (proven, is_proven) = oneshot::channel();
-        self.link.replace(Some(GateLink { link, allowance, proven }));
-        is_proven
+        let (authenticated, authentication) = oneshot::channel();
+        self.connection.replace(Some(GateConnection { connection, allowance, authenticated }));
+        authentication
     }
 }
 
@@ -71,23 +76,32 @@
         params: gate::EnterParams,
         mut results: gate::EnterResults,
     ) -> Result<(), Error> {
-        let node = self.node.upgrade().ok_or_else(|| Error::disconnected("stopped".to_owned()))?;
+        let node = self
+            .node
+            .upgrade()
+            .ok_or_else(|| Error::disconnected("daemon is stopping".to_owned()))?;
         let params = params.get()?;
         let secret = node.options.secret.as_bytes();
-        let callee = self.nonce.take().ok_or_else(|| Error::failed("no challenge".to_owned()))?;
+        let callee = self
+            .nonce
+            .take()
+            .ok_or_else(|| Error::failed("no challenge was requested".to_owned()))?;
         let caller = params.get_nonce()?;
         let proxy = codec::read_text(params.get_proxy()?)?;
         if !is_proof(secret, ProofSide::Caller, caller, &callee, params.get_proof()?) {
-            log::warn!("spread: refused a peer without the secret.");
+            log::warn!("spread: refused a peer that does not know the secret.");
             return Err(Error::failed("proof does not match".to_owned()));
         }
-        let gate_link = self.link.take().ok_or_else(|| Error::failed("entered".to_owned()))?;
-        gate_link.allowance.lift();
+        let gate_connection = self
+            .connection
+            .take()
+            .ok_or_else(|| Error::failed("already authenticated".to_owned()))?;
+        gate_connection.allowance.lift();
         // The receiver is gone only if the time for authentication has just run out.
-        let _ = gate_link.proven.send(());
-        let session = PeerSession::new(proxy, params.get_peer()?, gate_link.link);
+        let _ = gate_connection.authenticated.send(());
+        let session = PeerSession::new(proxy, params.get_peer()?, gate_connection.connection);
         let server = PeerServer::new(&node);
-        server.open(&session);
+        server.set_session(&session);
         node.pool.add(session);
         let mut results = results.get();
         results.set_proof(&make_proof(secret, ProofSide::Callee, caller, &callee));
--- a/components/spread/src/held.rs
+++ b/components/spread/src/held_config.rs
@@ -11,11 +11,11 @@
 use sk_model::{ConfigSnapshot, ProxyId, RejectedVersion, UnixMillis, Version, validate_trees};
 use tokio::sync::watch;
 
-use crate::marks::{RootMark, root_mark};
+use crate::hash_prefix::{RootHashPrefix, root_hash_prefix};
 
 /// Number of earlier snapshots kept as bases for deltas. Subtrees are shared, so each costs one
 /// root.
-const KEPT_BASES: usize = 16;
+const MAX_KEPT_BASES: usize = 16;
 
 /// The version in force and where it came from.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -50,10 +50,10 @@
     bases: VecDeque<Arc<ConfigSnapshot>>,
     newest: Arc<ConfigSnapshot>,
     /// Hash prefix of the newest root, kept because heartbeats send it several times a second.
-    newest_mark: RootMark,
+    newest_prefix: RootHashPrefix,
     source: ProxyId,
     /// Version and root hash prefix of the last rejected snapshot.
-    refused: Option<(Version, RootMark)>,
+    last_rejected: Option<(Version, RootHashPrefix)>,
 }
 
 /// The configuration in force, swapped as a whole and never for an older one.
@@ -97,9 +97,9 @@
     }
 
     /// Returns the newest version and the hash prefix of its root.
-    pub(crate) fn newest_mark(&self) -> (Version, RootMark) {
+    pub(crate) fn newest_id(&self) -> (Version, RootHashPrefix) {
         let state = self.state();
-        (state.newest.version(), state.newest_mark)
+        (state.newest.version(), state.newest_prefix)
     }
 
     /// Returns the current status.
@@ -154,15 +154,15 @@
         if version <= state.newest.version() {
             return OfferOutcome::NotNewer;
         }
-        if let Some(reason) = find_fault(&snapshot) {
-            return OfferOutcome::Rejected(self.refuse(&mut state, &snapshot, reason));
+        if let Some(reason) = find_invalid(&snapshot) {
+            return OfferOutcome::Rejected(self.reject(&mut state, &snapshot, reason));
         }
         let snapshot = Arc::new(snapshot);
         state.bases.push_back(snapshot.clone());
-        if state.bases.len() > KEPT_BASES {
+        if state.bases.len() > MAX_KEPT_BASES {
             state.bases.pop_front();
         }
-        state.newest_mark = root_mark(&snapshot.root.hash());
+        state.newest_prefix = root_hash_prefix(&snapshot.root.hash());
         state.newest = snapshot;
         state.source = source.to_owned();
         if self.is_ready() {
@@ -173,11 +173,12 @@
 
     /// Returns whether this very version was rejected before. Peers that have not detected its
     /// fault yet go on offering it, and each fetch would transfer the whole version again.
-    pub(crate) fn is_refused(&self, version: Version, mark: RootMark) -> bool {
-        self.state().refused == Some((version, mark))
+    pub(crate) fn was_rejected(&self, version: Version, hash_prefix: RootHashPrefix) -> bool {
+        self.state().last_rejected == Some((version, hash_prefix))
     }
 
-    fn refuse(
+    /// Records a rejected version for peers and for the status.
+    fn reject(
         &self,
         state: &mut HeldState,
         snapshot: &ConfigSnapshot,
@@ -185,10 +186,10 @@
     ) -> RejectedVersion {
         let version = snapshot.version();
         let rejected = RejectedVersion { version, reason };
-        state.refused = Some((version, root_mark(&snapshot.root.hash())));
+        state.last_rejected = Some((version, root_hash_prefix(&snapshot.root.hash())));
         self.status.send_if_modified(|status| {
             // The report names the newest rejected version, in whichever order they arrive.
-            let is_newer = status.rejected.as_ref().is_none_or(|held| held.version < version);
+            let is_newer = status.rejected.as_ref().is_none_or(|known| known.version < version);
             if is_newer {
                 status.rejected = Some(rejected.clone());
             }
@@ -197,6 +198,7 @@
         rejected
     }
 
+    /// Swaps the newest configuration in and publishes the status.
     fn put_in_force(&self, state: &HeldState, now: UnixMillis) {
         let version = state.newest.version();
         self.current.store(state.newest.clone());
@@ -211,7 +213,8 @@
     }
 }
 
-fn find_fault(snapshot: &ConfigSnapshot) -> Option<String> {
+/// Returns the first reason why a snapshot is invalid.
+fn find_invalid(snapshot: &ConfigSnapshot) -> Option<String> {
     if !snapshot.is_intact() {
         return Some("a subtree is missing or does not match its hash".to_owned());
     }
--- a/components/spread/src/join.rs
+++ b/components/spread/src/join.rs
@@ -11,7 +11,7 @@
 use tokio::sync::watch;
 
 use crate::{
-    backoff::{RetryPause, drawn, jittered},
+    backoff::{RetryPause, jittered, random_up_to},
     connect::open_session,
     node::{CALL_TIMEOUT, SpreadNode},
 };
@@ -21,14 +21,15 @@
 const MAX_ADDRESSES: usize = 8;
 /// First and longest pause between tries while no other daemon is known.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
+/// Longest pause between tries while no other daemon is known.
 const LONGEST_PAUSE: Duration = Duration::from_secs(2);
 /// Mean pause between tries of addresses that belong to no present member. After a long network
 /// partition each half of a fleet may have forgotten the other; these tries reunite them.
-const STRANGER_PAUSE: Duration = Duration::from_secs(15);
+const NON_MEMBER_PAUSE: Duration = Duration::from_secs(15);
 /// Shortest pause between updates of the contacts by one relay.
 const CONTACT_PAUSE: Duration = Duration::from_secs(10);
 /// The same while this daemon knows no other one, as others may be starting at the same time.
-const LONELY_PAUSE: Duration = Duration::from_secs(2);
+const ISOLATED_CONTACT_PAUSE: Duration = Duration::from_secs(2);
 /// Number of contacts stored per data centre. Some of them outlive any failure short of the loss
 /// of the data centre, and reading them all stays one small call.
 const MAX_CONTACTS: usize = 8;
@@ -37,13 +38,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum JoinStage {
     /// No address has been tried yet.
-    Trying,
+    Pending,
     /// There is no address to try.
-    Alone,
+    NoAddresses,
     /// Addresses were tried and none answered.
-    Unreached,
+    Unreachable,
     /// Another daemon is known.
-    Met,
+    Joined,
 }
 
 /// Joins the fleet while no other daemon is known, and afterwards tries addresses of non-members
@@ -51,11 +52,11 @@
 pub(crate) async fn join_fleet(node: &Rc<SpreadNode>, stage: &watch::Sender<JoinStage>) {
     let mut pause = RetryPause::new(FIRST_PAUSE, LONGEST_PAUSE);
     loop {
-        if !node.others().is_empty() {
-            stage.send_replace(JoinStage::Met);
+        if !node.other_members().is_empty() {
+            stage.send_replace(JoinStage::Joined);
             pause.reset();
-            tokio::time::sleep(jittered(STRANGER_PAUSE)).await;
-            meet_strangers(node).await;
+            tokio::time::sleep(jittered(NON_MEMBER_PAUSE)).await;
+            try_non_member(node).await;
             continue;
         }
         let mut addresses = other_seeds(node);
@@ -64,33 +65,35 @@
             try_addresses(node, &contacts).await;
             addresses.extend(contacts);
         }
-        let is_met = !node.others().is_empty();
-        stage.send_replace(match is_met {
-            true => JoinStage::Met,
-            false if addresses.is_empty() => JoinStage::Alone,
-            false => JoinStage::Unreached,
+        let has_joined = !node.other_members().is_empty();
+        stage.send_replace(match has_joined {
+            true => JoinStage::Joined,
+            false if addresses.is_empty() => JoinStage::NoAddresses,
+            false => JoinStage::Unreachable,
         });
-        if !is_met {
+        if !has_joined {
             // The wait also ends when another daemon joins this one meanwhile.
             let mut views = node.members.subscribe();
-            let met = views.wait_for(|view| view.len() > 1);
-            let _ = tokio::time::timeout(pause.next(), met).await;
+            let joined = views.wait_for(|view| view.len() > 1);
+            let _ = tokio::time::timeout(pause.next(), joined).await;
         }
     }
 }
 
+/// Returns the seeds of the settings without the own address.
 fn other_seeds(node: &SpreadNode) -> BTreeSet<SocketAddr> {
     let own = node.members.own().control;
     node.options.seeds.iter().copied().filter(|seed| *seed != own).collect()
 }
 
+/// Reads the contacts of all data centres without the own address; empty if they cannot be read.
 async fn read_contacts(node: &SpreadNode) -> BTreeSet<SocketAddr> {
     let Some(book) = &node.contacts else { return BTreeSet::new() };
     let own = node.members.own().control;
     match book.read().await {
         Ok(contacts) => contacts.into_values().flatten().filter(|other| *other != own).collect(),
         Err(err) => {
-            log::debug!("spread: contacts: {err}.");
+            log::debug!("spread: cannot read contacts: {err}.");
             BTreeSet::new()
         }
     }
@@ -99,14 +102,15 @@
 /// Tries a random few of the addresses at once and returns whether any answered.
 async fn try_addresses(node: &Rc<SpreadNode>, addresses: &BTreeSet<SocketAddr>) -> bool {
     let chosen = addresses.iter().copied().sample(&mut rand::rng(), MAX_ADDRESSES);
-    let results = join_all(chosen.into_iter().map(|address| meet(node, address))).await;
+    let results = join_all(chosen.into_iter().map(|address| join_at(node, address))).await;
     for err in results.iter().filter_map(|result| result.as_ref().err()) {
         log::debug!("spread: cannot join: {err}.");
     }
     results.iter().any(Result::is_ok)
 }
 
-async fn meet(node: &Rc<SpreadNode>, address: SocketAddr) -> Result<(), Error> {
+/// Connects to an address and reconciles records with the daemon there.
+async fn join_at(node: &Rc<SpreadNode>, address: SocketAddr) -> Result<(), Error> {
     let session = open_session(node, address).await?;
     let reconcile = node.reconcile(&session.proxy, session.client.clone());
     let result = tokio::time::timeout(CALL_TIMEOUT, reconcile).await;
@@ -114,16 +118,17 @@
 }
 
 /// Tries one random seed or former member that is not a present member.
-async fn meet_strangers(node: &Rc<SpreadNode>) {
+async fn try_non_member(node: &Rc<SpreadNode>) {
     let view = node.view();
     let is_present = |address: &SocketAddr| {
         view.values().any(|record| record.control == *address && record.is_present())
     };
-    let lost = view.values().filter(|record| !record.is_present()).map(|record| record.control);
-    let strangers = other_seeds(node).into_iter().chain(lost).filter(|other| !is_present(other));
-    let chosen = strangers.choose(&mut rand::rng());
+    let former = view.values().filter(|record| !record.is_present()).map(|record| record.control);
+    let non_members =
+        other_seeds(node).into_iter().chain(former).filter(|other| !is_present(other));
+    let chosen = non_members.choose(&mut rand::rng());
     if let Some(address) = chosen
-        && let Err(err) = meet(node, address).await
+        && let Err(err) = join_at(node, address).await
     {
         log::debug!("spread: {address} does not answer: {err}.");
     }
@@ -136,24 +141,26 @@
 /// a write fails if another relay wrote in between. So of any two daemons that start apart, the
 /// second reads the first one's address and joins it. A relay reads once per pause and writes on
 /// change only, so neither grows with the fleet.
-pub(crate) async fn keep_contacts(node: &Rc<SpreadNode>) {
+pub(crate) async fn maintain_contacts(node: &Rc<SpreadNode>) {
     let Some(book) = node.contacts.clone() else { return };
     let mut relays = node.relays.subscribe();
-    let mut ready = node.held.ready();
+    let mut ready = node.config.ready();
     let _ = ready.wait_for(|is_ready| *is_ready).await;
     loop {
         if relays.wait_for(|view| view.rank.is_some()).await.is_err() {
             return;
         }
         if let Err(err) = refresh_contacts(node, &*book).await {
-            log::debug!("spread: contacts: {err}.");
+            log::debug!("spread: cannot read contacts: {err}.");
         }
-        let is_lonely = node.others().is_empty();
-        let pause = if is_lonely { LONELY_PAUSE } else { CONTACT_PAUSE };
-        tokio::time::sleep(pause + drawn(pause / 2)).await;
+        let is_isolated = node.other_members().is_empty();
+        let pause = if is_isolated { ISOLATED_CONTACT_PAUSE } else { CONTACT_PAUSE };
+        tokio::time::sleep(pause + random_up_to(pause / 2)).await;
     }
 }
 
+/// Joins the daemons in stored contacts that are no members, and updates the own data centre's
+/// contacts if they changed.
 async fn refresh_contacts(
     node: &Rc<SpreadNode>,
     book: &dyn crate::source::ContactBook,
@@ -162,24 +169,24 @@
     let view = node.view();
     let present: BTreeSet<SocketAddr> =
         view.values().filter(|record| record.is_present()).map(|record| record.control).collect();
-    let strangers = contacts.values().flatten().filter(|other| !present.contains(other));
-    try_addresses(node, &strangers.copied().collect()).await;
+    let non_members = contacts.values().flatten().filter(|other| !present.contains(other));
+    try_addresses(node, &non_members.copied().collect()).await;
     let data_centre = &node.members.own().data_centre;
-    let seen = contacts.get(data_centre).map(Vec::as_slice);
-    let wanted = wanted_contacts(node, seen.unwrap_or_default());
-    match seen == Some(wanted.as_slice()) {
+    let stored = contacts.get(data_centre).map(Vec::as_slice);
+    let wanted = choose_contacts(node, stored.unwrap_or_default());
+    match stored == Some(wanted.as_slice()) {
         true => Ok(()),
-        false => book.write(data_centre, seen, &wanted).await,
+        false => book.write(data_centre, stored, &wanted).await,
     }
 }
 
 /// Returns the contacts to store: those stored already that are still members, filled up with
 /// relays and then with other members. Stored ones come first, so that only the loss of a contact
 /// causes a write.
-fn wanted_contacts(node: &SpreadNode, seen: &[SocketAddr]) -> Vec<SocketAddr> {
+fn choose_contacts(node: &SpreadNode, stored: &[SocketAddr]) -> Vec<SocketAddr> {
     let own = node.members.own();
     let view = node.view();
-    let near: Vec<SocketAddr> = view
+    let local: Vec<SocketAddr> = view
         .values()
         .filter(|record| record.data_centre == own.data_centre && record.is_present())
         .map(|record| record.control)
@@ -187,8 +194,8 @@
     let relays = node.relays.borrow().relays.clone();
     let relays = relays.iter().filter_map(|relay| view.get(&relay.proxy));
     let mut wanted: Vec<SocketAddr> =
-        seen.iter().copied().filter(|kept| near.contains(kept)).collect();
-    for address in relays.map(|record| record.control).chain(near) {
+        stored.iter().copied().filter(|address| local.contains(address)).collect();
+    for address in relays.map(|record| record.control).chain(local) {
         if wanted.len() < MAX_CONTACTS && !wanted.contains(&address) {
             wanted.push(address);
         }
--- a/components/spread/src/lib.rs
+++ b/components/spread/src/lib.rs
@@ -12,28 +12,28 @@
 mod counted;
 mod driver;
 mod fetch;
+mod forward;
 mod gate;
-mod held;
+mod hash_prefix;
+mod held_config;
 mod join;
 mod link_board;
 mod links;
-mod marks;
 mod neighbours;
-mod news;
 mod node;
 mod notices;
 mod options;
-mod orders;
-mod pass;
 mod pool;
 mod relay_view;
 mod relays;
 mod repair;
+mod rumors;
 mod server;
 mod session;
 mod source;
 mod start;
 mod state;
+mod tasks;
 mod update;
 mod watch;
 
@@ -44,15 +44,15 @@
 
 pub use counted::{ControlBytes, ControlMeter};
 pub use driver::{SpreadHandle, SpreadParts, StateReader, start_spread};
-pub use held::{HeldConfig, HeldStatus, OfferOutcome};
+pub use forward::{ForwardKind, ForwardPlan, plan_forward};
+pub use held_config::{HeldConfig, HeldStatus, OfferOutcome};
 pub use options::{PassMode, SpreadOptions};
-pub use orders::VersionOrigin;
-pub use pass::{PassPlan, PassStyle, plan_pass};
 pub use sk_member::HistoryMark;
 pub use source::{
     AckSink, ConfigSource, ContactBook, ContactMap, NoticeBoard, SourceError, SourceNews,
 };
 pub use state::{CallKind, KindBytes, SpreadState};
+pub use tasks::VersionOrigin;
 pub use update::{
     ConfigUpdate, TreeContent, TreeHashes, TreeUpdate, UpdateFault, apply_update, make_tree_update,
     make_update, tree_hashes,
--- a/components/spread/src/link_board.rs
+++ b/components/spread/src/link_board.rs
@@ -11,35 +11,43 @@
 /// One link of this daemon.
 pub(crate) struct LinkState {
     /// Wakes the link's task for rumors, or because the link was removed.
-    pub(crate) news: Notify,
+    pub(crate) wakeup: Notify,
     /// Whether this side opens the connection and sends the heartbeats.
-    pub(crate) is_chosen: bool,
+    pub(crate) is_initiator: bool,
     /// Whether to send a heartbeat now, even if the other side usually sends them.
-    pub(crate) wants_beat: Cell<bool>,
+    pub(crate) is_beat_requested: Cell<bool>,
 }
 
 impl LinkState {
-    pub(crate) fn new(is_chosen: bool) -> Self {
-        Self { news: Notify::new(), is_chosen, wants_beat: Cell::new(false) }
+    pub(crate) fn new(is_initiator: bool) -> Self {
+        Self { wakeup: Notify::new(), is_initiator, is_beat_requested: Cell::new(false) }
     }
 }
 
 /// All links, the liveness monitor and the rumor queues.
 pub(crate) struct LinkBoard {
+    /// Rumors pending per link.
     pub(crate) rumors: RumorQueue,
+    /// Detects failed neighbours.
     pub(crate) monitor: LivenessMonitor,
+    /// Links by neighbour.
     pub(crate) links: BTreeMap<ProxyId, Rc<LinkState>>,
-    start: Instant,
+    started_at: Instant,
 }
 
 impl LinkBoard {
     pub(crate) fn new(monitor: LivenessMonitor) -> Self {
-        Self { rumors: RumorQueue::new(), monitor, links: BTreeMap::new(), start: Instant::now() }
+        Self {
+            rumors: RumorQueue::new(),
+            monitor,
+            links: BTreeMap::new(),
+            started_at: Instant::now(),
+        }
     }
 
     /// Returns the time on the monitor's clock.
     pub(crate) fn now(&self) -> Duration {
-        self.start.elapsed()
+        self.started_at.elapsed()
     }
 
     /// Runs the monitor and returns the events that are due.
@@ -50,18 +58,18 @@
 
     /// Passes an observer's suspicion to the monitor, and queues it for the other links if it is
     /// new.
-    pub(crate) fn note_word(&mut self, word: MemberSuspicion, from: &ProxyId) {
+    pub(crate) fn note_suspicion(&mut self, suspicion: MemberSuspicion, from: &ProxyId) {
         let now = self.now();
-        if self.monitor.note(word.clone(), now) {
-            self.push(&MemberRumor::Suspicion(word), Some(from));
+        if self.monitor.note(suspicion.clone(), now) {
+            self.push(&MemberRumor::Suspicion(suspicion), Some(from));
         }
     }
 
     /// Requests a heartbeat over every link at once.
-    pub(crate) fn send_beats(&self) {
+    pub(crate) fn request_beats(&self) {
         for link in self.links.values() {
-            link.wants_beat.set(true);
-            link.news.notify_one();
+            link.is_beat_requested.set(true);
+            link.wakeup.notify_one();
         }
     }
 
@@ -70,7 +78,7 @@
         self.rumors.push(rumor, from);
         for (proxy, link) in &self.links {
             if self.rumors.pending(proxy) > 0 {
-                link.news.notify_one();
+                link.wakeup.notify_one();
             }
         }
     }
--- a/components/spread/src/links.rs
+++ b/components/spread/src/links.rs
@@ -24,46 +24,49 @@
 
 /// Pause before links are planned again after members changed. A fleet restart changes them
 /// hundreds of times a second, and a plan for 780 daemons takes milliseconds.
-const PLAN_PAUSE: Duration = Duration::from_millis(250);
+const REPLAN_PAUSE: Duration = Duration::from_millis(250);
 /// Time in which rumors are batched before they are sent. One hop then takes about as long, and
 /// the 6 to 8 hops of a large fleet stay far below the 3 s within which a change must be known.
-const RUMOR_PAUSE: Duration = Duration::from_millis(25);
+const RUMOR_BATCH_PAUSE: Duration = Duration::from_millis(25);
 /// Maximum number of rumors in one message; about 16 kB.
-const MAX_RUMORS: usize = 64;
+const MAX_RUMORS_PER_MESSAGE: usize = 64;
 /// Consecutive heartbeats with a different digest before records are reconciled. Rumors in transit
 /// make digests differ for a moment, and an immediate reconciliation would send the same records
 /// twice.
-const MAX_MISMATCHES: u32 = 2;
+const MAX_DIGEST_MISMATCHES: u32 = 2;
 /// Wire value of the source's age in a heartbeat if the sender does not know it.
-const NO_AGE: u32 = u32::MAX;
+const UNKNOWN_AGE: u32 = u32::MAX;
 
 impl SpreadNode {
+    /// Returns the names of all linked neighbours.
     pub(crate) fn link_names(&self) -> BTreeSet<ProxyId> {
         self.links.borrow().links.keys().cloned().collect()
     }
 
     /// Reports to the monitor that the connection to a peer ended without this side closing it.
-    pub(crate) fn note_lost(&self, proxy: &str) {
+    pub(crate) fn note_connection_lost(&self, proxy: &str) {
         let mut board = self.links.borrow_mut();
         let now = board.now();
         board.monitor.lost(proxy, now);
     }
 
-    fn note_heard(&self, proxy: &str) {
+    /// Reports to the monitor that a peer was heard from.
+    fn note_alive(&self, proxy: &str) {
         let mut board = self.links.borrow_mut();
         let now = board.now();
         board.monitor.heard(proxy, now);
     }
 
+    /// Writes this daemon's heartbeat: its version, member digest, readiness and freshness proof.
     pub(crate) fn write_beat(&self, mut builder: beat::Builder<'_>) {
-        let (version, mark) = self.held.newest_mark();
+        let (version, hash_prefix) = self.config.newest_id();
         builder.set_version(version);
-        builder.set_root_hash(mark);
-        builder.set_members(self.member_mark());
-        builder.set_is_ready(self.held.is_ready());
+        builder.set_root_hash(hash_prefix);
+        builder.set_members(self.member_hash());
+        builder.set_is_ready(self.config.is_ready());
         if let Some(proof) = self.freshness.borrow().held() {
-            let age = self.start.elapsed().saturating_sub(proof.seen_at);
-            builder.set_source_age_millis(u32::try_from(age.as_millis()).unwrap_or(NO_AGE));
+            let age = self.started_at.elapsed().saturating_sub(proof.seen_at);
+            builder.set_source_age_millis(u32::try_from(age.as_millis()).unwrap_or(UNKNOWN_AGE));
             builder.set_looker(proof.looker);
             builder.set_history(proof.history);
         }
@@ -71,62 +74,63 @@
 
     /// Handles a peer's heartbeat and returns whether its records are the same as here.
     /// `written_after` is the latest known moment before the peer wrote it.
-    pub(crate) fn take_beat(
+    pub(crate) fn handle_beat(
         self: &Rc<Self>,
         proxy: &str,
         beat: beat::Reader<'_>,
         written_after: Instant,
     ) -> bool {
-        self.note_heard(proxy);
-        self.take_proof(beat, written_after);
+        self.note_alive(proxy);
+        self.adopt_proof(beat, written_after);
         self.note_version(proxy, beat.get_version(), beat.get_root_hash());
-        beat.get_members() == self.member_mark()
+        beat.get_members() == self.member_hash()
     }
 
     /// Adopts a peer's freshness proof. It says that the peer's version was the newest one, so it
     /// also holds here if that version or a later one is held. The heartbeat's `looker` is the
     /// hashed name of the daemon that read the source, and `history` the position in the source's
     /// history known to it.
-    fn take_proof(&self, beat: beat::Reader<'_>, written_after: Instant) {
+    fn adopt_proof(&self, beat: beat::Reader<'_>, written_after: Instant) {
         let age = Duration::from_millis(beat.get_source_age_millis().into());
-        let is_known = beat.get_source_age_millis() != NO_AGE;
-        let is_held = beat.get_version() <= self.held.newest_mark().0;
-        let written_after = written_after.saturating_duration_since(self.start);
+        let is_known = beat.get_source_age_millis() != UNKNOWN_AGE;
+        let is_held = beat.get_version() <= self.config.newest_id().0;
+        let written_after = written_after.saturating_duration_since(self.started_at);
         if let (true, Some(seen_at)) = (is_known && is_held, written_after.checked_sub(age)) {
             let (looker, history) = (beat.get_looker(), beat.get_history());
             self.note_proof(FreshnessProof { looker, seen_at, history });
         }
     }
 
-    fn member_mark(&self) -> u64 {
+    /// Folds the digest of all records into one number.
+    fn member_hash(&self) -> u64 {
         let digest = self.members.update(|table| table.digest().clone(), |_| false);
-        let fold = |mark: u64, bucket: &u64| mark.rotate_left(7).wrapping_add(*bucket);
+        let fold = |hash: u64, bucket: &u64| hash.rotate_left(7).wrapping_add(*bucket);
         digest.buckets().iter().fold(0, fold)
     }
 }
 
 /// Plans the links again whenever members join or leave.
-pub(crate) async fn keep_links(node: &Rc<SpreadNode>) {
+pub(crate) async fn maintain_links(node: &Rc<SpreadNode>) {
     let mut views = node.members.subscribe();
-    let mut planned = None;
+    let mut planned_hash = None;
     loop {
         let view = views.borrow_and_update().clone();
-        let mark = Some(presence_mark(&view));
+        let hash = Some(membership_hash(&view));
         // A leaving daemon is in no plan, including its own. It keeps its links, which may still
         // have to carry the rumor of its leaving.
-        if planned != mark && node.members.own().is_present() {
-            planned = mark;
+        if planned_hash != hash && node.members.own().is_present() {
+            planned_hash = hash;
             plan_links(node, &view);
         }
         if views.changed().await.is_err() {
             return;
         }
-        tokio::time::sleep(PLAN_PAUSE).await;
+        tokio::time::sleep(REPLAN_PAUSE).await;
     }
 }
 
 /// Hashes the parts of a view that determine the plan of the links.
-fn presence_mark(view: &MemberView) -> u64 {
+fn membership_hash(view: &MemberView) -> u64 {
     let mut hasher = DefaultHasher::new();
     for record in view.values().filter(|record| record.is_present()) {
         (&record.proxy, &record.data_centre, &record.region).hash(&mut hasher);
@@ -134,6 +138,7 @@
     hasher.finish()
 }
 
+/// Replaces the links by those of the current overlay plan, and starts a task for each new one.
 fn plan_links(node: &Rc<SpreadNode>, view: &MemberView) {
     let plan = OverlayPlan::new(view);
     let chosen: BTreeSet<ProxyId> = plan.chosen(&node.own_name).into_iter().collect();
@@ -142,7 +147,7 @@
     let now = board.now();
     board.monitor.set_neighbours(neighbours.iter().cloned(), now);
     let is_kept = |proxy: &ProxyId, link: &LinkState| {
-        neighbours.contains(proxy) && link.is_chosen == chosen.contains(proxy)
+        neighbours.contains(proxy) && link.is_initiator == chosen.contains(proxy)
     };
     let links = std::mem::take(&mut board.links);
     for (proxy, link) in links {
@@ -150,14 +155,14 @@
             board.links.insert(proxy, link);
         } else {
             board.rumors.remove_link(&proxy);
-            link.news.notify_one();
+            link.wakeup.notify_one();
         }
     }
     for proxy in neighbours {
         if !board.links.contains_key(&proxy) {
             board.rumors.add_link(proxy.clone());
-            let is_chosen = chosen.contains(&proxy);
-            let link = Rc::new(LinkState::new(is_chosen));
+            let is_initiator = chosen.contains(&proxy);
+            let link = Rc::new(LinkState::new(is_initiator));
             board.links.insert(proxy.clone(), link.clone());
             tokio::task::spawn_local(run_link(node.clone(), proxy, link));
         }
@@ -165,40 +170,42 @@
     node.stats.set_links(board.links.keys().cloned().collect());
 }
 
+/// Runs one link until the plan no longer contains it: sends heartbeats and rumors, and reconciles
+/// records where the digests stay different or rumors were lost.
 async fn run_link(node: Rc<SpreadNode>, proxy: ProxyId, link: Rc<LinkState>) {
     let is_current = || {
         let board = node.links.borrow();
-        board.links.get(&proxy).is_some_and(|held| Rc::ptr_eq(held, &link))
+        board.links.get(&proxy).is_some_and(|current| Rc::ptr_eq(current, &link))
     };
     // Rumors from before the link's start are in no queue for it.
-    let mut needs_repair = link.is_chosen;
+    let mut needs_repair = link.is_initiator;
     let mut mismatches = 0;
     let mut next_beat = Instant::now();
     while is_current() {
-        let is_due = link.is_chosen && Instant::now() >= next_beat;
-        if link.wants_beat.take() || is_due {
+        let is_due = link.is_initiator && Instant::now() >= next_beat;
+        if link.is_beat_requested.take() || is_due {
             next_beat = Instant::now() + jittered(node.options.heartbeat);
             match send_beat(&node, &proxy).await {
                 Ok(true) => mismatches = 0,
                 Ok(false) => mismatches += 1,
-                Err(err) => note_failed(&node, &proxy, &err),
+                Err(err) => note_beat_failure(&node, &proxy, &err),
             }
         }
         send_pending(&node, &proxy).await;
         needs_repair |= node.links.borrow_mut().rumors.take_repair(&proxy);
-        if needs_repair || mismatches >= MAX_MISMATCHES {
+        if needs_repair || mismatches >= MAX_DIGEST_MISMATCHES {
             let call = async |peer| node.reconcile(&proxy, peer).await;
             needs_repair = node.call(&proxy, CALL_TIMEOUT, call).await.is_err();
             mismatches = 0;
         }
         // A link whose heartbeats the other side sends, and that needs no repair, waits for rumors
         // only.
-        let is_idle = !link.is_chosen && !needs_repair;
-        let due = Instant::now() + node.options.heartbeat;
+        let is_idle = !link.is_initiator && !needs_repair;
+        let next_repair = Instant::now() + node.options.heartbeat;
         tokio::select! {
-            () = link.news.notified() => tokio::time::sleep(RUMOR_PAUSE).await,
-            () = tokio::time::sleep_until(next_beat), if link.is_chosen => (),
-            () = tokio::time::sleep_until(due), if !link.is_chosen && !is_idle => (),
+            () = link.wakeup.notified() => tokio::time::sleep(RUMOR_BATCH_PAUSE).await,
+            () = tokio::time::sleep_until(next_beat), if link.is_initiator => (),
+            () = tokio::time::sleep_until(next_repair), if !link.is_initiator && !is_idle => (),
         }
     }
 }
@@ -213,29 +220,30 @@
         let response = request.send().promise.await?;
         let response = response.get()?;
         node.stats.received(CallKind::Beat, response.total_size()?);
-        Ok(node.take_beat(proxy, response.get_beat()?, sent_at))
+        Ok(node.handle_beat(proxy, response.get_beat()?, sent_at))
     };
     node.call(proxy, CALL_TIMEOUT, call).await
 }
 
 /// Reports a failed heartbeat to the monitor if the connection was refused or reset, which shows
 /// at once that the process ended. After a timeout the monitor detects the silence itself.
-fn note_failed(node: &SpreadNode, proxy: &str, err: &Error) {
+fn note_beat_failure(node: &SpreadNode, proxy: &str, err: &Error) {
     log::debug!("spread: heartbeat to {proxy} failed: {err}.");
     if err.kind == ErrorKind::Disconnected {
-        node.note_lost(proxy);
+        node.note_connection_lost(proxy);
     }
 }
 
+/// Sends pending rumors in batches. Failed batches are replaced by a reconciliation.
 async fn send_pending(node: &Rc<SpreadNode>, proxy: &ProxyId) {
     loop {
-        let rumors = node.links.borrow_mut().rumors.take(proxy, MAX_RUMORS);
+        let rumors = node.links.borrow_mut().rumors.take(proxy, MAX_RUMORS_PER_MESSAGE);
         if rumors.is_empty() {
             return;
         }
         let call = async |peer| node.send_rumors(peer, rumors).await;
         if let Err(err) = node.call(proxy, CALL_TIMEOUT, call).await {
-            log::debug!("spread: news to {proxy} failed: {err}.");
+            log::debug!("spread: rumors to {proxy} failed: {err}.");
             return node.links.borrow_mut().rumors.mark_failed(proxy);
         }
     }
--- a/components/spread/src/neighbours.rs
+++ b/components/spread/src/neighbours.rs
@@ -9,19 +9,19 @@
 use crate::{connect::sweep_sessions, node::SpreadNode};
 
 /// Time between runs of the monitor.
-const TICK_PAUSE: Duration = Duration::from_millis(200);
+const MONITOR_INTERVAL: Duration = Duration::from_millis(200);
 /// Time between removals of expired records.
-const EXPIRE_PAUSE: Duration = Duration::from_secs(5);
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Runs the monitor periodically and applies its events.
-pub(crate) async fn watch_neighbours(node: &Rc<SpreadNode>) {
+pub(crate) async fn monitor_neighbours(node: &Rc<SpreadNode>) {
     let mut last_expiry = Instant::now();
     loop {
-        tokio::time::sleep(TICK_PAUSE).await;
+        tokio::time::sleep(MONITOR_INTERVAL).await;
         let view = node.view();
         let events = node.links.borrow_mut().tick(&view);
-        events.into_iter().for_each(|event| obey(node, event));
-        if last_expiry.elapsed() > EXPIRE_PAUSE {
+        events.into_iter().for_each(|event| apply_event(node, event));
+        if last_expiry.elapsed() > EXPIRY_INTERVAL {
             last_expiry = Instant::now();
             let now = node.links.borrow().now();
             node.members.update(|table| table.expire(now), |dropped| *dropped > 0);
@@ -30,10 +30,11 @@
     }
 }
 
-fn obey(node: &SpreadNode, event: MonitorEvent) {
+/// Applies one decision of the monitor.
+fn apply_event(node: &SpreadNode, event: MonitorEvent) {
     match event {
-        MonitorEvent::Spread(word) => {
-            node.links.borrow_mut().push(&MemberRumor::Suspicion(word), None);
+        MonitorEvent::Spread(suspicion) => {
+            node.links.borrow_mut().push(&MemberRumor::Suspicion(suspicion), None);
         }
         MonitorEvent::Gone { proxy, incarnation, sequence } => {
             let declare = |table: &mut MemberTable| {
@@ -49,7 +50,7 @@
         MonitorEvent::Paused(pause) => {
             log::warn!("spread: this process was paused for {} ms.", pause.as_millis());
             node.members.update(|table| table.withdraw_endpoints(), |is_changed| *is_changed);
-            node.freshness.borrow_mut().restart(node.start.elapsed());
+            node.freshness.borrow_mut().restart(node.started_at.elapsed());
         }
     }
 }
--- a/components/spread/src/node.rs
+++ b/components/spread/src/node.rs
@@ -17,14 +17,14 @@
 use crate::{
     ack_batch::AckBatch,
     counted::ControlMeter,
-    held::{HeldConfig, OfferOutcome},
+    held_config::{HeldConfig, OfferOutcome},
     link_board::LinkBoard,
     options::SpreadOptions,
-    orders::{ConfirmOutcome, FetchWant, PassOrder, VersionOrigin},
     pool::PeerPool,
     relay_view::RelayView,
     source::{AckSink, ConfigSource, ContactBook, NoticeBoard},
     state::SpreadStats,
+    tasks::{ConfirmOutcome, FetchTask, ForwardTask, VersionOrigin},
 };
 
 /// Name of the configuration source in reports of where a version came from.
@@ -38,39 +38,45 @@
     pub(crate) options: SpreadOptions,
     pub(crate) own_name: ProxyId,
     /// Origin of the times in freshness proofs.
-    pub(crate) start: Instant,
-    pub(crate) held: Arc<HeldConfig>,
+    pub(crate) started_at: Instant,
+    /// The held configuration.
+    pub(crate) config: Arc<HeldConfig>,
     pub(crate) members: Arc<MemberBoard>,
     pub(crate) source: Arc<dyn ConfigSource>,
     pub(crate) source_outage: OutageLog,
+    /// Freshness proofs: when this daemon or a peer last knew that the held version is the newest.
     pub(crate) freshness: RefCell<FreshnessBook>,
     pub(crate) contacts: Option<Arc<dyn ContactBook>>,
     pub(crate) acks: Arc<dyn AckSink>,
+    /// Acknowledgements to pass on if this daemon is a relay.
     pub(crate) ack_batch: AckBatch,
     pub(crate) notices: Option<Arc<dyn NoticeBoard>>,
     pub(crate) meter: Arc<ControlMeter>,
     pub(crate) stats: Arc<SpreadStats>,
     pub(crate) pool: PeerPool,
     /// Number of connections opened by peers that have not authenticated yet.
-    pub(crate) unproven: Cell<usize>,
+    pub(crate) unauthenticated: Cell<usize>,
     pub(crate) relays: watch::Sender<RelayView>,
     pub(crate) links: RefCell<LinkBoard>,
     /// Limits the fetches served at once.
-    pub(crate) places: Arc<Semaphore>,
-    pub(crate) passes: mpsc::UnboundedSender<PassOrder>,
-    pub(crate) wants: mpsc::Sender<FetchWant>,
-    pub(crate) confirms: mpsc::UnboundedSender<oneshot::Sender<ConfirmOutcome>>,
+    pub(crate) fetch_slots: Arc<Semaphore>,
+    /// Queue of versions to forward.
+    pub(crate) forward_tasks: mpsc::UnboundedSender<ForwardTask>,
+    /// Queue of versions to fetch.
+    pub(crate) fetch_tasks: mpsc::Sender<FetchTask>,
+    /// Queue of requests to read the source.
+    pub(crate) confirm_requests: mpsc::UnboundedSender<oneshot::Sender<ConfirmOutcome>>,
     /// Version and origin of the last push received along a tree.
     pub(crate) last_push: RefCell<Option<(Version, VersionOrigin)>>,
     /// Newest version announced after a delay.
-    pub(crate) announced: Cell<Version>,
+    pub(crate) last_announced: Cell<Version>,
     /// Version for which a delayed fetch is scheduled already; zero for none.
-    pub(crate) expected: Cell<Version>,
+    pub(crate) scheduled_fetch: Cell<Version>,
 }
 
 impl SpreadNode {
     /// Lists the records of all other members that are believed reachable.
-    pub(crate) fn others(&self) -> Vec<Arc<MemberRecord>> {
+    pub(crate) fn other_members(&self) -> Vec<Arc<MemberRecord>> {
         let view = self.members.view();
         let is_other = |record: &&Arc<MemberRecord>| record.proxy != self.own_name;
         view.values().filter(is_other).filter(|record| record.is_present()).cloned().collect()
@@ -88,19 +94,19 @@
         origin: VersionOrigin,
     ) -> OfferOutcome {
         let version = snapshot.version();
-        let base = self.held.newest();
-        let outcome = self.held.offer(snapshot, source, unix_now());
+        let base = self.config.newest();
+        let outcome = self.config.offer(snapshot, source, unix_now());
         match &outcome {
             OfferOutcome::Applied => {
-                log::info!("spread: version {version} from {source}.");
-                let order = PassOrder { base, newest: self.held.newest(), origin };
+                log::info!("spread: received version {version} from {source}.");
+                let task = ForwardTask { base, newest: self.config.newest(), origin };
                 // The receiver lives as long as the control thread.
-                let _ = self.passes.send(order);
+                let _ = self.forward_tasks.send(task);
             }
             OfferOutcome::NotNewer => (),
             OfferOutcome::Diverged => self.report_diverged(version, source),
             OfferOutcome::Rejected(rejected) => {
-                log::warn!("spread: version {version} refused: {}.", rejected.reason);
+                log::warn!("spread: rejected version {version}: {}.", rejected.reason);
             }
         }
         outcome
@@ -118,7 +124,7 @@
     /// The second relay of a data centre receives each version from the platform itself and is an
     /// inner node of the first relay's tree. If it ignored the push, its children there would get
     /// the version only from its own announcement, about 300 ms after all others.
-    pub(crate) fn pass_along(
+    pub(crate) fn forward_known(
         &self,
         base: Version,
         newest: Arc<ConfigSnapshot>,
@@ -126,47 +132,47 @@
     ) {
         let base = match base {
             0 => Some(Arc::default()),
-            base => self.held.base(base),
+            base => self.config.base(base),
         };
         let Some(base) = base else { return };
         // The receiver lives as long as the control thread.
-        let _ = self.passes.send(PassOrder { base, newest, origin });
+        let _ = self.forward_tasks.send(ForwardTask { base, newest, origin });
     }
 
     /// Reports that a peer holds different content under a version held here. Of two histories
     /// under one prefix only one was accepted, and only an operator can decide which.
     pub(crate) fn report_diverged(&self, version: Version, peer: &str) {
         if self.stats.note_diverged(version) {
-            log::error!("spread: {peer} holds another content under version {version}.");
+            log::error!("spread: {peer} holds different content under version {version}.");
         }
     }
 
-    /// Records that this daemon itself found nothing newer at the source at `seen_at`.
-    pub(crate) fn note_seen(&self, seen_at: Instant) {
-        let seen_at = seen_at.saturating_duration_since(self.start);
+    /// Records that this daemon itself found nothing newer at the source at `read_at`.
+    pub(crate) fn note_source_read(&self, read_at: Instant) {
+        let seen_at = read_at.saturating_duration_since(self.started_at);
         let looker = self.freshness.borrow().own();
         self.note_proof(FreshnessProof { looker, seen_at, history: self.source.history() });
     }
 
     /// Records a proof that the version held here was the newest one.
     pub(crate) fn note_proof(&self, proof: FreshnessProof) {
-        self.freshness.borrow_mut().offer(proof, self.start.elapsed());
-        self.stats.note_source_seen(self.start + proof.seen_at);
+        self.freshness.borrow_mut().offer(proof, self.started_at.elapsed());
+        self.stats.note_source_read_at(self.started_at + proof.seen_at);
     }
 
     /// Reads the configuration source once for all callers that ask during the same batch.
-    pub(crate) async fn confirm(&self) -> ConfirmOutcome {
-        let (answer, answered) = oneshot::channel();
-        let _ = self.confirms.send(answer);
-        answered.await.unwrap_or(ConfirmOutcome::Away)
+    pub(crate) async fn confirm_newest(&self) -> ConfirmOutcome {
+        let (response_sender, response) = oneshot::channel();
+        let _ = self.confirm_requests.send(response_sender);
+        response.await.unwrap_or(ConfirmOutcome::Unreachable)
     }
 
-    /// Puts the newest version in force for the first time and logs `how` it was confirmed.
-    pub(crate) fn set_ready(&self, how: &str) {
-        if !self.held.is_ready() {
-            let version = self.held.newest().version();
-            log::info!("spread: ready with version {version}, {how}.");
-            self.held.set_ready(unix_now());
+    /// Puts the newest version in force for the first time; `confirmed_by` is for the log.
+    pub(crate) fn set_ready(&self, confirmed_by: &str) {
+        if !self.config.is_ready() {
+            let version = self.config.newest().version();
+            log::info!("spread: ready with version {version}, confirmed by {confirmed_by}.");
+            self.config.set_ready(unix_now());
         }
     }
 }
--- a/components/spread/src/options.rs
+++ b/components/spread/src/options.rs
@@ -7,7 +7,7 @@
 
 /// Delay between one standby daemon and the next before each takes over watching the source. One
 /// read of the source takes milliseconds, and its success is sent to the neighbours at once.
-const LOOK_STEP: Duration = Duration::from_millis(100);
+const TAKEOVER_STEP: Duration = Duration::from_millis(100);
 
 /// How a daemon forwards a new version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -51,16 +51,16 @@
     ///
     /// A watch that ends without a new version proves that the source has nothing newer. Peers
     /// receive that proof with heartbeats, so it need not be renewed much more often than those.
-    pub fn watch_wait(&self) -> Duration {
+    pub fn max_watch_wait(&self) -> Duration {
         self.heartbeat * 3 / 2
     }
 
     /// Returns when daemons take over watching the source from those that fail to. The staleness
     /// limit is the wait of one watch, one long pause between heartbeats (1.5 times the mean) and
     /// half a heartbeat interval as margin.
-    pub(crate) fn look_options(&self) -> LookOptions {
-        let stale_after = self.watch_wait() + self.heartbeat * 2;
-        LookOptions { relays: self.relays, stale_after, step: LOOK_STEP }
+    pub(crate) fn takeover_options(&self) -> LookOptions {
+        let stale_after = self.max_watch_wait() + self.heartbeat * 2;
+        LookOptions { relays: self.relays, stale_after, step: TAKEOVER_STEP }
     }
 }
 
--- a/components/spread/src/pool.rs
+++ b/components/spread/src/pool.rs
@@ -36,12 +36,13 @@
         found.filter(|session| !session.is_closed())
     }
 
+    /// Adds a connection, which becomes the one used for calls to its peer.
     pub(crate) fn add(&self, session: Rc<PeerSession>) {
         self.by_proxy.borrow_mut().insert(session.proxy.clone(), session.clone());
         let mut sessions = self.sessions.borrow_mut();
         sessions.push(session);
         if sessions.len() > MAX_SESSIONS
-            && let Some(oldest) = sessions.iter().max_by_key(|session| session.idle())
+            && let Some(oldest) = sessions.iter().max_by_key(|session| session.idle_time())
         {
             oldest.close();
         }
@@ -51,21 +52,21 @@
     pub(crate) fn sweep(&self, links: &BTreeSet<ProxyId>) -> PoolSweep {
         let mut sessions = self.sessions.borrow_mut();
         for session in sessions.iter() {
-            let is_unused = session.idle() > IDLE_TIMEOUT && !links.contains(&session.proxy);
+            let is_unused = session.idle_time() > IDLE_TIMEOUT && !links.contains(&session.proxy);
             if is_unused && !session.is_closed() {
                 session.close();
             }
         }
         sessions.retain(|session| !session.is_closed());
-        let mut swept = PoolSweep { open: sessions.len(), lost: Vec::new() };
+        let mut sweep = PoolSweep { open: sessions.len(), lost_peers: Vec::new() };
         drop(sessions);
         self.by_proxy.borrow_mut().retain(|proxy, session| {
             if session.is_lost() {
-                swept.lost.push(proxy.clone());
+                sweep.lost_peers.push(proxy.clone());
             }
             !session.is_closed()
         });
-        swept
+        sweep
     }
 }
 
@@ -74,5 +75,5 @@
     /// Number of open connections.
     pub(crate) open: usize,
     /// Peers whose connection ended without this side closing it.
-    pub(crate) lost: Vec<ProxyId>,
+    pub(crate) lost_peers: Vec<ProxyId>,
 }
--- a/components/spread/src/relay_view.rs
+++ b/components/spread/src/relay_view.rs
@@ -20,11 +20,11 @@
     /// Position of this daemon among them; `None` if it is no relay.
     pub(crate) rank: Option<usize>,
     /// Since when the relays have been the same.
-    pub(crate) since: Instant,
+    pub(crate) unchanged_since: Instant,
 }
 
 impl Default for RelayView {
     fn default() -> Self {
-        Self { relays: Vec::new(), rank: None, since: Instant::now() }
+        Self { relays: Vec::new(), rank: None, unchanged_since: Instant::now() }
     }
 }
--- a/components/spread/src/relays.rs
+++ b/components/spread/src/relays.rs
@@ -14,10 +14,10 @@
 
 /// Pause before the relays are chosen again after members changed. A fleet restart changes them
 /// hundreds of times a second, and each choice ranks the whole data centre.
-const CHOICE_PAUSE: Duration = Duration::from_millis(100);
+const RELAY_CHOICE_PAUSE: Duration = Duration::from_millis(100);
 
 /// Chooses the relays, and sets the order in which other daemons take over from them.
-pub(crate) fn view_relays(node: &SpreadNode) -> RelayView {
+pub(crate) fn choose_relay_view(node: &SpreadNode) -> RelayView {
     let view = node.view();
     let own = node.members.own();
     let records = view.values().map(|record| &**record);
@@ -29,25 +29,29 @@
         let incarnation = view.get(&proxy).map_or(0, |record| record.incarnation);
         RelayId { proxy, incarnation }
     };
-    RelayView { relays: chosen.into_iter().map(name).collect(), rank, since: Instant::now() }
+    RelayView {
+        relays: chosen.into_iter().map(name).collect(),
+        rank,
+        unchanged_since: Instant::now(),
+    }
 }
 
 /// Chooses the relays again whenever members change.
-pub(crate) async fn keep_relays(node: &Rc<SpreadNode>) {
+pub(crate) async fn maintain_relays(node: &Rc<SpreadNode>) {
     let mut views = node.members.subscribe();
     loop {
-        let relays = view_relays(node);
+        let relays = choose_relay_view(node);
         node.stats.set_relays(relays.clone());
-        node.relays.send_if_modified(|held| {
-            let is_changed = held.relays != relays.relays;
+        node.relays.send_if_modified(|current| {
+            let is_changed = current.relays != relays.relays;
             if is_changed {
-                *held = relays;
+                *current = relays;
             }
             is_changed
         });
         if views.changed().await.is_err() {
             return;
         }
-        tokio::time::sleep(CHOICE_PAUSE).await;
+        tokio::time::sleep(RELAY_CHOICE_PAUSE).await;
     }
 }
--- a/components/spread/src/repair.rs
+++ b/components/spread/src/repair.rs
@@ -17,18 +17,19 @@
 /// This covers what the faster mechanisms miss: daemons whose views differ compute different
 /// trees, and two data centres that were partitioned may each hold what the other lacks. The
 /// jitter keeps daemons that started within one second from staying synchronised.
-pub(crate) async fn repair_forever(node: &Rc<SpreadNode>) {
+pub(crate) async fn reconcile_repeatedly(node: &Rc<SpreadNode>) {
     loop {
         tokio::time::sleep(jittered(node.options.repair_interval)).await;
         let Some(proxy) = pick_member(node) else { continue };
         let call = async |peer: peer::Client| node.reconcile(&proxy, peer).await;
         if let Err(err) = node.call(&proxy, CALL_TIMEOUT, call).await {
-            log::debug!("spread: comparison with {proxy} failed: {err}.");
+            log::debug!("spread: reconciliation with {proxy} failed: {err}.");
         }
     }
 }
 
+/// Picks a random other member.
 fn pick_member(node: &SpreadNode) -> Option<ProxyId> {
-    let others = node.others();
+    let others = node.other_members();
     others.choose(&mut rand::rng()).map(|record| record.proxy.clone())
 }
--- a/components/spread/src/news.rs
+++ b/components/spread/src/rumors.rs
@@ -14,21 +14,21 @@
 
 impl SpreadNode {
     /// Merges rumors from a peer and queues the new ones for the other links.
-    pub(crate) fn merge_news(
+    pub(crate) fn merge_rumors(
         &self,
         records: Vec<MemberRecord>,
-        words: Vec<MemberSuspicion>,
+        suspicions: Vec<MemberSuspicion>,
         from: &ProxyId,
     ) {
         for record in self.merge_records(records) {
             self.links.borrow_mut().push(&MemberRumor::Record(record), Some(from));
         }
-        for word in words {
-            let is_about_own = word.proxy == self.own_name;
+        for suspicion in suspicions {
+            let is_about_own = suspicion.proxy == self.own_name;
             if is_about_own {
-                self.members.update(|table| table.refute(&word), |is_refuted| *is_refuted);
+                self.members.update(|table| table.refute(&suspicion), |is_refuted| *is_refuted);
             }
-            self.links.borrow_mut().note_word(word, from);
+            self.links.borrow_mut().note_suspicion(suspicion, from);
         }
     }
 
@@ -41,7 +41,7 @@
             let mut is_refuted = false;
             for record in records {
                 let proxy = record.proxy.clone();
-                note_change(table.records().get(&proxy).map(|held| &**held), &record);
+                log_change(table.records().get(&proxy).map(|known| &**known), &record);
                 match table.merge(record) {
                     MergeOutcome::Newer if proxy != *own => {
                         newer.extend(table.records().get(&proxy).cloned());
@@ -72,51 +72,57 @@
         let response = request.send().promise.await?;
         let response = response.get()?;
         self.stats.received(CallKind::Reconcile, response.total_size()?);
-        let theirs = codec::read_buckets(response.get_buckets()?)?;
-        let theirs = MemberDigest::from_buckets(theirs);
+        let peer_digest = codec::read_buckets(response.get_buckets()?)?;
+        let peer_digest = MemberDigest::from_buckets(peer_digest);
         let received = codec::read_members(response.get_records()?)?;
-        let is_known: BTreeSet<_> =
+        let received_ranks: BTreeSet<_> =
             received.iter().map(|record| (record.proxy.clone(), record.rank())).collect();
-        self.merge_news(received, Vec::new(), proxy);
-        self.take_beat(proxy, response.get_beat()?, sent_at);
-        let differing = digest.differing(&theirs);
-        let mut lacking = self.members.update(|table| table.records_in(&differing), |_| false);
-        lacking.retain(|record| !is_known.contains(&(record.proxy.clone(), record.rank())));
-        if lacking.is_empty() {
+        self.merge_rumors(received, Vec::new(), proxy);
+        self.handle_beat(proxy, response.get_beat()?, sent_at);
+        let differing = digest.differing(&peer_digest);
+        let mut missing_there =
+            self.members.update(|table| table.records_in(&differing), |_| false);
+        missing_there
+            .retain(|record| !received_ranks.contains(&(record.proxy.clone(), record.rank())));
+        if missing_there.is_empty() {
             return Ok(());
         }
-        let rumors = lacking.into_iter().map(MemberRumor::Record).collect();
+        let rumors = missing_there.into_iter().map(MemberRumor::Record).collect();
         self.send_rumors(peer, rumors).await
     }
 
+    /// Sends records and suspicions in one message.
     pub(crate) async fn send_rumors(
         &self,
         peer: peer::Client,
         rumors: Vec<MemberRumor>,
     ) -> Result<(), Error> {
         let mut records = Vec::new();
-        let mut words = Vec::new();
+        let mut suspicions = Vec::new();
         for rumor in &rumors {
             match rumor {
                 MemberRumor::Record(record) => records.push(&**record),
-                MemberRumor::Suspicion(word) => words.push(word),
+                MemberRumor::Suspicion(suspicion) => suspicions.push(suspicion),
             }
         }
         let mut request = peer.rumor_request();
         let builder = request.get().init_records(records.len() as u32);
         codec::write_members(records.into_iter(), builder);
-        codec::write_words(&words, request.get().init_suspicions(words.len() as u32));
+        codec::write_suspicions(
+            &suspicions,
+            request.get().init_suspicions(suspicions.len() as u32),
+        );
         self.stats.sent(CallKind::Rumor, request.get().into_reader().total_size()?);
         request.send().promise.await.map(drop)
     }
 }
 
 /// Logs when a daemon joins, restarts, or changes its status or backend servers.
-fn note_change(held: Option<&MemberRecord>, record: &MemberRecord) {
-    let is_newer = held.is_none_or(|held| record.rank() > held.rank());
-    let is_same = held.is_some_and(|held| {
-        (held.status, held.incarnation) == (record.status, record.incarnation)
-            && held.endpoints == record.endpoints
+fn log_change(known: Option<&MemberRecord>, record: &MemberRecord) {
+    let is_newer = known.is_none_or(|known| record.rank() > known.rank());
+    let is_same = known.is_some_and(|known| {
+        (known.status, known.incarnation) == (record.status, record.incarnation)
+            && known.endpoints == record.endpoints
     });
     if !is_newer || is_same {
         return;
@@ -131,18 +137,18 @@
         incarnation = record.incarnation,
         sequence = record.sequence,
         servers = servers.join("; ").as_str();
-        "spread: {} says what it is.", record.proxy
+        "spread: {} joined or changed its status or servers.", record.proxy
     );
 }
 
 /// Queues the own record for every link as soon as it changes.
-pub(crate) async fn pass_own_record(node: &Rc<SpreadNode>) {
+pub(crate) async fn send_own_record(node: &Rc<SpreadNode>) {
     let mut views = node.members.subscribe();
-    let mut known = node.members.own();
+    let mut last_sent = node.members.own();
     loop {
         let own = node.members.own();
-        if !Arc::ptr_eq(&own, &known) {
-            known = own.clone();
+        if !Arc::ptr_eq(&own, &last_sent) {
+            last_sent = own.clone();
             node.links.borrow_mut().push(&MemberRumor::Record(own), None);
         }
         if views.changed().await.is_err() {
--- a/components/spread/src/session.rs
+++ b/components/spread/src/session.rs
@@ -12,35 +12,40 @@
 pub(crate) struct PeerSession {
     pub(crate) proxy: ProxyId,
     pub(crate) client: peer::Client,
-    used: Cell<Instant>,
-    link: SessionLink,
+    used_at: Cell<Instant>,
+    connection: SharedConnectionState,
 }
 
 /// Connection state shared between the session and the task that runs it.
-pub(crate) type SessionLink = Rc<SessionSignal>;
+pub(crate) type SharedConnectionState = Rc<ConnectionState>;
 
 /// Requests the close of a connection and reports whether and how it ended.
-pub(crate) struct SessionSignal {
+pub(crate) struct ConnectionState {
+    /// Signals the connection's task to close it.
     pub(crate) close: Notify,
+    /// Whether the connection has ended or is being closed.
     pub(crate) is_closed: Cell<bool>,
+    /// Whether the connection ended without this side closing it.
     pub(crate) is_lost: Cell<bool>,
     /// When the last bytes arrived from the peer.
-    heard_at: Cell<Instant>,
+    received_at: Cell<Instant>,
 }
 
-impl Default for SessionSignal {
+impl Default for ConnectionState {
     fn default() -> Self {
         let (is_closed, is_lost) = (Cell::default(), Cell::default());
-        let heard_at = Cell::new(Instant::now());
-        Self { close: Notify::new(), is_closed, is_lost, heard_at }
+        let received_at = Cell::new(Instant::now());
+        Self { close: Notify::new(), is_closed, is_lost, received_at }
     }
 }
 
-impl SessionSignal {
-    pub(crate) fn note_heard(&self) {
-        self.heard_at.set(Instant::now());
+impl ConnectionState {
+    /// Records that bytes have arrived.
+    pub(crate) fn note_received(&self) {
+        self.received_at.set(Instant::now());
     }
 
+    /// Requests the close of the connection.
     pub(crate) fn close(&self) {
         self.is_closed.set(true);
         self.close.notify_one();
@@ -48,33 +53,39 @@
 }
 
 impl PeerSession {
-    pub(crate) fn new(proxy: ProxyId, client: peer::Client, link: SessionLink) -> Rc<Self> {
-        Rc::new(Self { proxy, client, used: Cell::new(Instant::now()), link })
+    pub(crate) fn new(
+        proxy: ProxyId,
+        client: peer::Client,
+        connection: SharedConnectionState,
+    ) -> Rc<Self> {
+        Rc::new(Self { proxy, client, used_at: Cell::new(Instant::now()), connection })
     }
 
-    pub(crate) fn touch(&self) {
-        self.used.set(Instant::now());
+    /// Records that the connection is used for a call.
+    pub(crate) fn note_used(&self) {
+        self.used_at.set(Instant::now());
     }
 
-    pub(crate) fn idle(&self) -> Duration {
-        self.used.get().elapsed()
+    /// Returns the time since the last call over the connection.
+    pub(crate) fn idle_time(&self) -> Duration {
+        self.used_at.get().elapsed()
     }
 
     /// Returns when the last bytes arrived from the peer.
-    pub(crate) fn heard_at(&self) -> Instant {
-        self.link.heard_at.get()
+    pub(crate) fn received_at(&self) -> Instant {
+        self.connection.received_at.get()
     }
 
     pub(crate) fn is_closed(&self) -> bool {
-        self.link.is_closed.get()
+        self.connection.is_closed.get()
     }
 
     /// Returns whether the connection ended without this side closing it.
     pub(crate) fn is_lost(&self) -> bool {
-        self.link.is_lost.get()
+        self.connection.is_lost.get()
     }
 
     pub(crate) fn close(&self) {
-        self.link.close();
+        self.connection.close();
     }
 }
--- a/components/spread/src/source.rs
+++ b/components/spread/src/source.rs
@@ -83,7 +83,7 @@
     async fn write(
         &self,
         data_centre: &str,
-        seen: Option<&[SocketAddr]>,
+        previous: Option<&[SocketAddr]>,
         addresses: &[SocketAddr],
     ) -> Result<(), SourceError>;
 }
--- a/components/spread/src/state.rs
+++ b/components/spread/src/state.rs
@@ -49,7 +49,8 @@
     Ack,
 }
 
-const KINDS: [CallKind; 8] = [
+/// All kinds, in the order of their counters.
+const CALL_KINDS: [CallKind; 8] = [
     CallKind::Beat,
     CallKind::Rumor,
     CallKind::Reconcile,
@@ -105,6 +106,7 @@
 }
 
 #[derive(Default)]
+/// Counters of one kind of call.
 struct KindCounter {
     calls: AtomicU64,
     sent: AtomicU64,
@@ -117,18 +119,18 @@
     relays: RelayView,
     links: Vec<ProxyId>,
     source_fault: Option<String>,
-    source_seen: Option<Instant>,
+    source_read_at: Option<Instant>,
 }
 
-fn age_millis(seen_at: Instant) -> u64 {
-    u64::try_from(seen_at.elapsed().as_millis()).unwrap_or(u64::MAX)
+fn age_ms(read_at: Instant) -> u64 {
+    u64::try_from(read_at.elapsed().as_millis()).unwrap_or(u64::MAX)
 }
 
 /// State of the control thread, readable from other threads.
 #[derive(Default)]
 pub(crate) struct SpreadStats {
     parts: Mutex<StateParts>,
-    kinds: [KindCounter; KINDS.len()],
+    kinds: [KindCounter; CALL_KINDS.len()],
     connections: AtomicU64,
     source_reads: AtomicU64,
     fetches_served: AtomicU64,
@@ -137,30 +139,32 @@
 }
 
 impl SpreadStats {
+    /// Counts a sent message.
     pub(crate) fn sent(&self, kind: CallKind, size: MessageSize) {
         let counter = &self.kinds[kind as usize];
         counter.calls.fetch_add(1, Ordering::Relaxed);
         counter.sent.fetch_add(size.word_count * WORD_BYTES, Ordering::Relaxed);
     }
 
+    /// Counts a received message.
     pub(crate) fn received(&self, kind: CallKind, size: MessageSize) {
         let counter = &self.kinds[kind as usize];
         counter.received.fetch_add(size.word_count * WORD_BYTES, Ordering::Relaxed);
     }
 
-    pub(crate) fn set_sessions(&self, count: usize) {
+    pub(crate) fn set_connections(&self, count: usize) {
         self.connections.store(count as u64, Ordering::Relaxed);
     }
 
-    pub(crate) fn count_read(&self) {
+    pub(crate) fn count_source_read(&self) {
         self.source_reads.fetch_add(1, Ordering::Relaxed);
     }
 
-    pub(crate) fn count_served(&self) {
+    pub(crate) fn count_fetch_served(&self) {
         self.fetches_served.fetch_add(1, Ordering::Relaxed);
     }
 
-    pub(crate) fn count_refused(&self) {
+    pub(crate) fn count_fetch_refused(&self) {
         self.fetches_refused.fetch_add(1, Ordering::Relaxed);
     }
 
@@ -170,13 +174,13 @@
         self.diverged.fetch_max(version, Ordering::Relaxed) < version
     }
 
-    pub(crate) fn note_source(&self, fault: Option<String>) {
+    pub(crate) fn set_source_fault(&self, fault: Option<String>) {
         self.with_parts(|parts| parts.source_fault = fault);
     }
 
     /// Records when the source was known to have nothing newer than the version held here.
-    pub(crate) fn note_source_seen(&self, seen_at: Instant) {
-        self.with_parts(|parts| parts.source_seen = parts.source_seen.max(Some(seen_at)));
+    pub(crate) fn note_source_read_at(&self, read_at: Instant) {
+        self.with_parts(|parts| parts.source_read_at = parts.source_read_at.max(Some(read_at)));
     }
 
     pub(crate) fn set_links(&self, links: Vec<ProxyId>) {
@@ -193,8 +197,8 @@
 
     /// Returns the current state.
     pub(crate) fn state(&self, is_ready: bool) -> SpreadState {
-        let kinds: [KindBytes; KINDS.len()] = array::from_fn(|index| KindBytes {
-            kind: KINDS[index].to_string(),
+        let kinds: [KindBytes; CALL_KINDS.len()] = array::from_fn(|index| KindBytes {
+            kind: CALL_KINDS[index].to_string(),
             calls: self.kinds[index].calls.load(Ordering::Relaxed),
             sent: self.kinds[index].sent.load(Ordering::Relaxed),
             received: self.kinds[index].received.load(Ordering::Relaxed),
@@ -205,7 +209,7 @@
             relays: parts.relays.relays.iter().map(|relay| relay.proxy.clone()).collect(),
             links: parts.links.clone(),
             source_fault: parts.source_fault.clone(),
-            source_age_ms: parts.source_seen.map(age_millis),
+            source_age_ms: parts.source_read_at.map(age_ms),
             connections: self.connections.load(Ordering::Relaxed),
             source_reads: self.source_reads.load(Ordering::Relaxed),
             fetches_served: self.fetches_served.load(Ordering::Relaxed),
--- a/components/spread/src/orders.rs
+++ b/components/spread/src/tasks.rs
@@ -4,7 +4,7 @@
 
 use sk_model::{ConfigSnapshot, ProxyId, Version};
 
-use crate::marks::RootMark;
+use crate::hash_prefix::RootHashPrefix;
 
 /// How a daemon received a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -26,16 +26,20 @@
 }
 
 /// A version to forward, with the base of its change.
-pub(crate) struct PassOrder {
+pub(crate) struct ForwardTask {
+    /// The version that a receiver is expected to hold.
     pub(crate) base: Arc<ConfigSnapshot>,
+    /// The version to forward.
     pub(crate) newest: Arc<ConfigSnapshot>,
     pub(crate) origin: VersionOrigin,
 }
 
 /// A version to fetch, and the peer that holds it.
-pub(crate) struct FetchWant {
+pub(crate) struct FetchTask {
     pub(crate) version: Version,
-    pub(crate) mark: RootMark,
+    /// Hash prefix of the version's root.
+    pub(crate) hash_prefix: RootHashPrefix,
+    /// The peer that holds the version.
     pub(crate) from: ProxyId,
     pub(crate) origin: VersionOrigin,
 }
@@ -44,9 +48,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConfirmOutcome {
     /// The newest accepted version is held.
-    Held,
+    UpToDate,
     /// The newest accepted version fails validation here.
-    Refused,
+    Rejected,
     /// The source is unreachable.
-    Away,
+    Unreachable,
 }
--- a/components/spread/src/update.rs
+++ b/components/spread/src/update.rs
@@ -23,7 +23,7 @@
     /// Writes to apply to the base's subtree.
     Writes(SettingWrites),
     /// The receiver already has this subtree, as its hash shows.
-    Held,
+    Unchanged,
 }
 
 /// One subtree that differs from the base.
@@ -77,7 +77,7 @@
     let is_removed = |team: &&TeamName| !newest.root.trees.contains_key(*team);
     let update = |(team, tree_ref): (&TeamName, &TreeRef)| {
         let tree = newest.trees.get(team).cloned().unwrap_or_default();
-        let content = tree_content(base.trees.get(team), &tree);
+        let content = make_tree_content(base.trees.get(team), &tree);
         (team.clone(), TreeUpdate { tree_ref: tree_ref.clone(), content })
     };
     ConfigUpdate {
@@ -96,7 +96,7 @@
     let mut update = make_update(&ConfigSnapshot::default(), newest);
     for (team, tree) in &mut update.trees {
         if held.get(team) == Some(&tree.tree_ref.hash) {
-            tree.content = TreeContent::Held;
+            tree.content = TreeContent::Unchanged;
         }
     }
     update
@@ -108,7 +108,8 @@
     snapshot.root.trees.iter().map(hash).collect()
 }
 
-fn tree_content(base: Option<&Arc<TeamTree>>, tree: &TeamTree) -> TreeContent {
+/// Returns the smaller of the whole subtree and the writes that lead to it from `base`.
+fn make_tree_content(base: Option<&Arc<TeamTree>>, tree: &TeamTree) -> TreeContent {
     let Some(base) = base else {
         return TreeContent::Whole(tree.clone());
     };
@@ -153,7 +154,7 @@
         let tree = match tree_update.content {
             TreeContent::Whole(tree) => Arc::new(tree),
             TreeContent::Writes(writes) => Arc::new(base.with_writes(&writes)),
-            TreeContent::Held => base,
+            TreeContent::Unchanged => base,
         };
         snapshot.root.trees.insert(team.clone(), tree_update.tree_ref);
         snapshot.trees.insert(team, tree);
--- a/components/spread/src/watch.rs
+++ b/components/spread/src/watch.rs
@@ -12,10 +12,10 @@
 
 use crate::{
     backoff::RetryPause,
-    held::OfferOutcome,
+    held_config::OfferOutcome,
     node::{PLATFORM, SpreadNode},
-    orders::{ConfirmOutcome, VersionOrigin},
     source::SourceNews,
+    tasks::{ConfirmOutcome, VersionOrigin},
 };
 
 /// First and longest pause after the source failed. With 18 relays the cap means 36 calls a second
@@ -23,13 +23,15 @@
 /// back: a version must be in force 2 seconds after its
 /// acknowledgement.
 const FIRST_PAUSE: Duration = Duration::from_millis(250);
+/// Longest pause after the source failed, for a relay with no daemons before it.
 const LONGEST_PAUSE: Duration = Duration::from_secs(1);
 /// Time in which a read of the source waits for more requests to share it. The start of a single
 /// daemon is delayed by it.
-const GATHER_PAUSE: Duration = Duration::from_millis(100);
+const READ_BATCH_PAUSE: Duration = Duration::from_millis(100);
 /// The same if the last read ended within [`HERD_WINDOW`]. When a whole fleet restarts, it limits
 /// one relay to 3 reads a second, however many daemons ask.
-const HERD_PAUSE: Duration = Duration::from_millis(300);
+const HERD_BATCH_PAUSE: Duration = Duration::from_millis(300);
+/// Time after a read in which further requests count as those of a restarting fleet.
 const HERD_WINDOW: Duration = Duration::from_secs(1);
 
 type ConfirmRequest = oneshot::Sender<ConfirmOutcome>;
@@ -37,18 +39,18 @@
 /// Watches the source whenever it is this daemon's turn.
 pub(crate) async fn watch_source(node: &Rc<SpreadNode>) {
     // Before readiness, only `start` reads the source.
-    let mut ready = node.held.ready();
+    let mut ready = node.config.ready();
     let _ = ready.wait_for(|is_ready| *is_ready).await;
-    node.freshness.borrow_mut().restart(node.start.elapsed());
+    node.freshness.borrow_mut().restart(node.started_at.elapsed());
     let mut relays = node.relays.subscribe();
     let mut watch = SourceWatch::default();
     loop {
-        let due = node.freshness.borrow().due_in(node.start.elapsed());
+        let due = node.freshness.borrow().due_in(node.started_at.elapsed());
         if due == Some(Duration::ZERO) {
-            watch.look(node).await;
+            watch.watch_once(node).await;
             continue;
         }
-        watch.leave(node);
+        watch.end_turn(node);
         let pause = due.unwrap_or(LONGEST_PAUSE);
         // The turn may come earlier if daemons that precede this one are gone.
         let _ = tokio::time::timeout(pause, relays.changed()).await;
@@ -58,82 +60,89 @@
 /// State of one daemon's watch of the source.
 struct SourceWatch {
     /// The newest version seen, including one that was rejected here.
-    seen: Arc<ConfigSnapshot>,
+    last_seen: Arc<ConfigSnapshot>,
     pause: RetryPause,
     /// Whether the source is being watched.
-    is_on: bool,
+    is_watching: bool,
     /// Whether heartbeats have reported the first success of this turn.
-    is_told: bool,
+    has_reported: bool,
 }
 
 impl Default for SourceWatch {
     fn default() -> Self {
         let pause = RetryPause::new(FIRST_PAUSE, LONGEST_PAUSE);
-        Self { seen: Arc::default(), pause, is_on: false, is_told: false }
+        Self { last_seen: Arc::default(), pause, is_watching: false, has_reported: false }
     }
 }
 
 impl SourceWatch {
-    async fn look(&mut self, node: &SpreadNode) {
-        self.begin(node);
-        let newest = node.held.newest();
+    /// Waits once for a version newer than any seen.
+    async fn watch_once(&mut self, node: &SpreadNode) {
+        self.begin_turn(node);
+        let newest = node.config.newest();
         // A rejected version was seen but is not held: waiting for one newer than the held version
         // would return the rejected one again at once, in a loop.
-        let is_refused = self.seen.version() > newest.version();
-        let after = if is_refused { self.seen.clone() } else { newest };
-        match node.source.wait_newer(&after, node.options.watch_wait()).await {
-            Ok(news) => self.take(node, news),
+        let is_rejected = self.last_seen.version() > newest.version();
+        let after = if is_rejected { self.last_seen.clone() } else { newest };
+        match node.source.wait_newer(&after, node.options.max_watch_wait()).await {
+            Ok(news) => self.take_news(node, news),
             Err(err) => {
                 node.source_outage.lost(&err);
-                node.stats.note_source(Some(err.reason));
+                node.stats.set_source_fault(Some(err.reason));
                 tokio::time::sleep(self.pause.next()).await;
             }
         }
     }
 
-    fn take(&mut self, node: &SpreadNode, news: SourceNews) {
+    /// Handles a successful wait: offers a newer version and records the freshness proof.
+    fn take_news(&mut self, node: &SpreadNode, news: SourceNews) {
         node.source_outage.back();
-        node.stats.note_source(None);
+        node.stats.set_source_fault(None);
         self.pause.reset();
         if let Some(snapshot) = news.newer {
-            self.seen = Arc::new(snapshot.clone());
+            self.last_seen = Arc::new(snapshot.clone());
             node.offer(snapshot, PLATFORM, VersionOrigin::Source);
         }
-        node.note_seen(news.seen_at);
+        node.note_source_read(news.seen_at);
         // The next daemons in the order would also start to watch if they learnt of the success
         // only with the next regular heartbeat.
-        if !std::mem::replace(&mut self.is_told, true) {
-            node.links.borrow().send_beats();
+        if !std::mem::replace(&mut self.has_reported, true) {
+            node.links.borrow().request_beats();
         }
     }
 
     /// Starts a turn of watching, in place of daemons that failed to if this is no relay.
-    fn begin(&mut self, node: &SpreadNode) {
-        if std::mem::replace(&mut self.is_on, true) {
+    fn begin_turn(&mut self, node: &SpreadNode) {
+        if std::mem::replace(&mut self.is_watching, true) {
             return;
         }
         let freshness = node.freshness.borrow();
-        let turns = freshness.turns_before().unwrap_or_default();
+        let predecessors = freshness.turns_before().unwrap_or_default();
         // Each further daemon that fails as well calls more rarely: all daemons of a data centre
         // fail while the source is unreachable, and their calls must not grow with their number.
-        let turn = u32::try_from(turns).unwrap_or(u32::MAX).saturating_add(1);
-        self.pause = RetryPause::new(FIRST_PAUSE, LONGEST_PAUSE.saturating_mul(turn));
-        let held = freshness.held();
-        let age = held.map(|proof| node.start.elapsed().saturating_sub(proof.seen_at));
+        let position = u32::try_from(predecessors).unwrap_or(u32::MAX).saturating_add(1);
+        self.pause = RetryPause::new(FIRST_PAUSE, LONGEST_PAUSE.saturating_mul(position));
+        let latest_proof = freshness.held();
+        let age = latest_proof.map(|proof| node.started_at.elapsed().saturating_sub(proof.seen_at));
         let source_age_ms = age.map(|age| u64::try_from(age.as_millis()).unwrap_or(u64::MAX));
-        log::info!(source_age_ms:?, turns; "spread: watches the configuration source.");
-        if let Some(proof) = held {
+        log::info!(
+            source_age_ms:?, turns = predecessors;
+            "spread: started to watch the configuration source."
+        );
+        if let Some(proof) = latest_proof {
             node.source.follow_from(proof.history);
         }
     }
 
     /// Ends the turn and leaves the source to the daemons that precede this one.
-    fn leave(&mut self, node: &SpreadNode) {
-        if std::mem::take(&mut self.is_on) {
-            self.is_told = false;
+    fn end_turn(&mut self, node: &SpreadNode) {
+        if std::mem::take(&mut self.is_watching) {
+            self.has_reported = false;
             node.source_outage.dismiss();
-            node.stats.note_source(None);
-            log::info!("spread: leaves the configuration source to others.");
+            node.stats.set_source_fault(None);
+            log::info!(
+                "spread: stopped watching the configuration source; other daemons watch it."
+            );
         }
     }
 }
@@ -144,50 +153,51 @@
 /// serves all requests that arrived before it began, so that the platform sees one read at a time
 /// per relay. A read that began earlier would not do, as it may have missed a version accepted
 /// since.
-pub(crate) async fn confirm_source(
+pub(crate) async fn serve_confirmations(
     node: &Rc<SpreadNode>,
     mut requests: mpsc::UnboundedReceiver<ConfirmRequest>,
 ) {
-    let mut last: Option<Instant> = None;
+    let mut last_read: Option<Instant> = None;
     while let Some(first) = requests.recv().await {
         let mut waiting = vec![first];
-        let is_herd = last.is_some_and(|last| last.elapsed() < HERD_WINDOW);
-        tokio::time::sleep(if is_herd { HERD_PAUSE } else { GATHER_PAUSE }).await;
+        let is_herd = last_read.is_some_and(|last_read| last_read.elapsed() < HERD_WINDOW);
+        tokio::time::sleep(if is_herd { HERD_BATCH_PAUSE } else { READ_BATCH_PAUSE }).await;
         while let Ok(next) = requests.try_recv() {
             waiting.push(next);
         }
         let outcome = read_source(node).await;
-        last = Some(Instant::now());
+        last_read = Some(Instant::now());
         for request in waiting {
             let _ = request.send(outcome);
         }
     }
 }
 
+/// Reads the source once and offers what it holds.
 async fn read_source(node: &SpreadNode) -> ConfirmOutcome {
-    node.stats.count_read();
+    node.stats.count_source_read();
     let began = Instant::now();
     // A version that a starting daemon reads is usually new to that daemon alone.
-    let origin = match node.held.is_ready() {
+    let origin = match node.config.is_ready() {
         true => VersionOrigin::Source,
         false => VersionOrigin::Found,
     };
-    let outcome = match node.source.load(&node.held.newest()).await {
+    let outcome = match node.source.load(&node.config.newest()).await {
         Err(err) => {
             node.source_outage.lost(&err);
-            node.stats.note_source(Some(err.reason));
-            return ConfirmOutcome::Away;
+            node.stats.set_source_fault(Some(err.reason));
+            return ConfirmOutcome::Unreachable;
         }
         Ok(snapshot) => node.offer(snapshot, PLATFORM, origin),
     };
     node.source_outage.back();
-    node.stats.note_source(None);
-    node.note_seen(began);
+    node.stats.set_source_fault(None);
+    node.note_source_read(began);
     match outcome {
-        OfferOutcome::Rejected(_) => ConfirmOutcome::Refused,
+        OfferOutcome::Rejected(_) => ConfirmOutcome::Rejected,
         _ => {
-            node.set_ready("as the configuration source has it");
-            ConfirmOutcome::Held
+            node.set_ready("the configuration source");
+            ConfirmOutcome::UpToDate
         }
     }
 }
