--- a/components/spread/schema/peer.capnp
+++ b/components/spread/schema/peer.capnp
@@ -1,59 +1,61 @@
 @0xd3b1f0a6c94e7725;
 
-# Control traffic between daemons. Regenerate as docs/DESIGN.md says.
+# Control protocol between daemons. Regenerate the Rust code as docs/DESIGN.md describes.
 
 interface Gate {
-  # What a daemon gives to anyone who connects: nothing but the way to prove the shared secret.
+  # Interface for any process that connects. It only allows to prove the shared secret.
   challenge @0 () -> (nonce :Data);
   enter @1 (nonce :Data, proof :Data, proxy :Text, peer :Peer) -> (proof :Data, proxy :Text, peer :Peer);
-  # Each side gives its name and a way to call it back over the same connection.
+  # Proves the secret. Each side sends its name and an interface for calls in its direction over the
+  # same connection.
 }
 
 interface Peer {
   beat @0 (beat :Beat) -> (beat :Beat);
-  # Heartbeat over a link.
+  # Exchanges heartbeats over a link.
   rumor @1 (records :List(Member), suspicions :List(Suspicion)) -> ();
-  # Passes on records that changed.
+  # Sends changed records and suspicions.
   reconcile @2 (buckets :List(UInt64), beat :Beat) -> (buckets :List(UInt64), records :List(Member), beat :Beat);
-  # Compares buckets of records and gives those of the buckets that differ.
+  # Compares digests of record buckets and returns the records of the buckets that differ.
   push @3 (update :Update, root :Text) -> (held :UInt64);
-  # Passes on a version along the tree of `root`; the answer is the version held afterwards.
+  # Sends a version along the tree of `root`; `held` is the version held afterwards.
   announce @4 (version :UInt64, rootHash :UInt64, root :Text) -> (held :UInt64);
-  # Names a version that can be fetched here.
+  # Announces a version that can be fetched from the caller, along the tree of `root`.
   fetch @5 (request :FetchRequest) -> (answer :FetchAnswer);
-  # Asks for the newest version.
+  # Requests the newest version.
   acknowledge @6 (acks :List(Ack)) -> ();
-  # Tells a relay what daemons hold.
+  # Reports to a relay which versions daemons hold.
   notices @7 (body :Data) -> ();
-  # Passes on news of the request path, such as requests that crash servers.
+  # Sends notices about requests, such as those that crash servers.
 }
 
 interface Ticket {
-  # Held by the receiver of a fetch until it has read the answer; its release frees the place.
+  # Kept by the receiver of a fetch until it has read the answer; its release frees the fetch slot.
 }
 
 struct Beat {
   version @0 :UInt64;
   rootHash @1 :UInt64;
-  # First bytes of the root's hash.
+  # First 8 bytes of the root's hash.
   members @2 :UInt64;
   # Digest of all records.
   isReady @3 :Bool;
   sourceAgeMillis @4 :UInt32 = 0xffffffff;
-  # Time since the source was known to have nothing newer than `version`; the default: not known.
+  # Time since the source was known to have nothing newer than `version`; the default means unknown.
   looker @5 :UInt64;
-  # Hash of the name of the daemon that looked at the source then.
+  # Hash of the name of the daemon that read the source then.
   history @6 :UInt64;
-  # Place in the source's history up to which that daemon knew everything.
+  # Position in the source's history up to which that daemon knew everything.
 }
 
 struct FetchRequest {
   held @0 :UInt64;
   heldMark @1 :UInt64;
+  # First 8 bytes of the hash of the held root.
   trees @2 :List(TreeHash);
-  # Empty in a first request; given where the answer was `needTrees`.
+  # Empty in the first request; set after the answer `needTrees`.
   confirm @3 :Bool;
-  # Asks a relay to look at the configuration source first.
+  # Requests that a relay reads the configuration source first.
 
   struct TreeHash {
     team @0 :Text;
@@ -63,20 +65,20 @@
 
 struct FetchAnswer {
   isFresh @0 :Bool;
-  # The configuration source was read after the request came.
+  # The configuration source was read after the request arrived.
   isReady @1 :Bool;
   union {
     same @2 :Void;
     # The receiver holds the newest version known here, or a newer one.
     update @3 :Update;
     busyMillis @4 :UInt32;
-    # Too many fetches at once: come back after this pause.
+    # Too many fetches are being served: retry after this pause.
     needTrees @5 :Void;
-    # The base is not kept here: ask again with the hashes of the subtrees.
+    # The base is not kept here: repeat the request with the hashes of the subtrees.
   }
   ticket @6 :Ticket;
   isAway @7 :Bool;
-  # The configuration source was asked in vain.
+  # The configuration source could not be read.
 }
 
 struct Member {
@@ -115,7 +117,8 @@
 }
 
 struct Update {
-  # A version of the configuration as the subtrees that changed since a base; base 0 means whole.
+  # A version of the configuration as the subtrees that changed since a base; base 0 means all
+  # subtrees.
   version @0 :UInt64;
   base @1 :UInt64;
   rootHash @2 :Text;
@@ -132,6 +135,7 @@
       whole @3 :Data;
       writes @4 :Data;
       held @5 :Void;
+      # The receiver holds a subtree with this hash.
     }
   }
 }
@@ -144,5 +148,6 @@
   incarnation @7 :UInt64;
   source @4 :Text;
   rejected @5 :UInt64;
+  # Newest rejected version, if newer than `version`; 0 means none.
   reason @6 :Text;
 }
--- a/components/spread/src/connect.rs
+++ b/components/spread/src/connect.rs
@@ -254,7 +254,7 @@
 
 /// Awaits a call as long as bytes arrive from its peer at least every `silence_limit`.
 ///
-/// Large answers over thin or busy links take longer than any fixed time limit that would still
+/// Large answers over slow or busy links take longer than any fixed time limit that would still
 /// detect a silent peer soon. A call abandoned in mid-transfer is sent again from its start over
 /// the same link, which delays the version for all daemons behind it.
 async fn await_until_silent<T>(
--- a/components/spread/src/forward.rs
+++ b/components/spread/src/forward.rs
@@ -1,5 +1,5 @@
 //! Forwards new versions along the tree of the data centre. The tree sends each daemon one copy;
-//! pushes that are too large for thin links become announcements, and the children of a failed
+//! pushes that are too large for slow links become announcements, and the children of a failed
 //! daemon are served in its place.
 
 use std::{rc::Rc, time::Duration};
@@ -31,7 +31,7 @@
 const BACKUP_RELAY_DELAY: Duration = Duration::from_millis(300);
 
 /// Largest update that is pushed, in words: 16 kB. All children receive theirs at once, so a
-/// larger one would fill a thin link for as long as 6 copies take. It is announced instead, and
+/// larger one would fill a slow link for as long as 6 copies take. It is announced instead, and
 /// each child that still lacks it fetches it at its own pace.
 const MAX_PUSH_WORDS: u64 = 2_048;
 
--- a/components/spread/tests/bounded_stop.rs
+++ b/components/spread/tests/bounded_stop.rs
@@ -1,4 +1,4 @@
-//! The end of the control thread.
+//! Stopping the control thread.
 
 mod common;
 
@@ -15,41 +15,41 @@
 use sk_model::ConfigSnapshot;
 use sk_spread::{ConfigSource, SourceError, SourceNews};
 
-/// A source whose calls keep the thread that makes them.
+/// A source whose calls block the thread that makes them.
 #[derive(Default)]
-struct StuckSource {
-    is_asked: AtomicBool,
+struct BlockingSource {
+    is_called: AtomicBool,
 }
 
-impl StuckSource {
-    fn keep_thread(&self) -> SourceError {
-        self.is_asked.store(true, Ordering::SeqCst);
+impl BlockingSource {
+    fn block_thread(&self) -> SourceError {
+        self.is_called.store(true, Ordering::SeqCst);
         std::thread::sleep(Duration::from_secs(20));
         SourceError { reason: "stuck".to_owned() }
     }
 }
 
 #[async_trait]
-impl ConfigSource for StuckSource {
+impl ConfigSource for BlockingSource {
     async fn load(&self, _: &ConfigSnapshot) -> Result<ConfigSnapshot, SourceError> {
-        Err(self.keep_thread())
+        Err(self.block_thread())
     }
 
     async fn wait_newer(&self, _: &ConfigSnapshot, _: Duration) -> Result<SourceNews, SourceError> {
-        Err(self.keep_thread())
+        Err(self.block_thread())
     }
 }
 
-/// Guards against a stop that waits for a control thread which is kept busy: the process would be killed
-/// at the end of its grace time, and with it whatever its callers still read.
+/// Guards against a stop that waits for a blocked control thread: the process would be killed at
+/// the end of its grace period, along with all responses that its callers still read.
 #[test]
-fn stuck_thread() {
-    let source = Arc::new(StuckSource::default());
+fn blocked_thread() {
+    let source = Arc::new(BlockingSource::default());
     let fleet = TestFleet::new();
     let (options, contacts) = (fleet.options.clone(), fleet.platform.clone());
-    let mut daemon = fleet.start_over("lj1-00", "lj1", options, source.clone(), contacts);
-    wait_for("the call", || source.is_asked.load(Ordering::SeqCst));
-    let began = Instant::now();
+    let mut daemon = fleet.start_with_source("lj1-00", "lj1", options, source.clone(), contacts);
+    wait_for("the call", || source.is_called.load(Ordering::SeqCst));
+    let started_at = Instant::now();
     daemon.handle.stop();
-    assert!(began.elapsed() < Duration::from_millis(500), "{:?}", began.elapsed());
+    assert!(started_at.elapsed() < Duration::from_millis(500), "{:?}", started_at.elapsed());
 }
--- a/components/spread/tests/common/link.rs
+++ b/components/spread/tests/common/link.rs
@@ -1,4 +1,4 @@
-//! A link in front of one daemon: other daemons' connections go through it.
+//! A bandwidth-limited link in front of one daemon, which other daemons' connections go through.
 
 use std::{
     io::{Read, Write},
@@ -13,33 +13,34 @@
 const CHUNK_BYTES: usize = 2_048;
 const POLL_PAUSE: Duration = Duration::from_millis(5);
 
-/// What all connections of a link share.
+/// State shared by all connections of a link.
 struct LinkState {
     bytes_per_s: usize,
-    /// Held by whoever is sending.
-    turn: Mutex<()>,
+    /// Serialises the connections: held by the one that is sending.
+    send_lock: Mutex<()>,
     is_silent: AtomicBool,
 }
 
-/// A link that carries so many bytes a second in all, or nothing while it is silent.
+/// A link whose connections together carry a limited number of bytes a second, or nothing while it
+/// is silent.
 #[derive(Clone)]
-pub struct ThinLink {
+pub struct SlowLink {
     pub address: SocketAddr,
     state: Arc<LinkState>,
 }
 
-impl ThinLink {
-    /// Makes a link to `target`. Its threads end with their connections and with the process.
+impl SlowLink {
+    /// Starts a link to `target`. Its threads end with their connections and with the process.
     pub fn start(target: SocketAddr, bytes_per_s: usize) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("an address");
-        let (turn, is_silent) = (Mutex::new(()), AtomicBool::new(false));
-        let state = Arc::new(LinkState { bytes_per_s, turn, is_silent });
+        let (send_lock, is_silent) = (Mutex::new(()), AtomicBool::new(false));
+        let state = Arc::new(LinkState { bytes_per_s, send_lock, is_silent });
         let shared = state.clone();
         std::thread::spawn(move || {
-            for near in listener.incoming().flatten() {
-                let Ok(far) = TcpStream::connect(target) else { continue };
-                carry_both(&near, &far, &shared);
+            for client in listener.incoming().flatten() {
+                let Ok(server) = TcpStream::connect(target) else { continue };
+                relay_both(&client, &server, &shared);
             }
         });
         Self { address, state }
@@ -50,27 +51,27 @@
     }
 }
 
-fn carry_both(near: &TcpStream, far: &TcpStream, state: &Arc<LinkState>) {
-    for (from, to) in [(near, far), (far, near)] {
+fn relay_both(client: &TcpStream, server: &TcpStream, state: &Arc<LinkState>) {
+    for (from, to) in [(client, server), (server, client)] {
         let (Ok(from), Ok(to)) = (from.try_clone(), to.try_clone()) else { return };
         let state = state.clone();
-        std::thread::spawn(move || carry(from, to, &state));
+        std::thread::spawn(move || relay(from, to, &state));
     }
 }
 
-fn carry(mut from: TcpStream, mut to: TcpStream, state: &LinkState) {
+fn relay(mut from: TcpStream, mut to: TcpStream, state: &LinkState) {
     let mut chunk = [0; CHUNK_BYTES];
-    while let Ok(count @ 1..) = from.read(&mut chunk) {
+    while let Ok(length @ 1..) = from.read(&mut chunk) {
         while state.is_silent.load(Ordering::SeqCst) {
             std::thread::sleep(POLL_PAUSE);
         }
-        let turn = state.turn.lock().expect("lock");
-        std::thread::sleep(Duration::from_secs_f64(count as f64 / state.bytes_per_s as f64));
-        drop(turn);
-        if to.write_all(&chunk[..count]).is_err() {
+        let send_lock = state.send_lock.lock().expect("lock");
+        std::thread::sleep(Duration::from_secs_f64(length as f64 / state.bytes_per_s as f64));
+        drop(send_lock);
+        if to.write_all(&chunk[..length]).is_err() {
             break;
         }
     }
-    // The other side may have closed its half already.
+    // The other thread may already have closed its half.
     let _ = (from.shutdown(Shutdown::Both), to.shutdown(Shutdown::Both));
 }
--- a/components/spread/tests/common/mod.rs
+++ b/components/spread/tests/common/mod.rs
@@ -1,9 +1,10 @@
-//! A few daemons' spreads in one process, over TCP, with fakes at the interfaces.
+//! Starts the control threads of several daemons in one process, connected over TCP, with fakes of
+//! the platform and the acknowledgement sink.
 
 #![allow(dead_code, unused_imports)] // Each test file uses a part of it.
 
+mod access;
 mod link;
-mod ways;
 
 use std::{
     collections::BTreeMap,
@@ -28,15 +29,15 @@
 };
 use tokio::sync::watch;
 
-pub use link::ThinLink;
-pub use ways::{CENTRE_DAEMONS, DATA_CENTRES, WayFleet};
+pub use access::{AccessFleet, DAEMONS_PER_CENTRE, DATA_CENTRES};
+pub use link::SlowLink;
 
 /// Longest wait for a condition; an idle machine needs a small part of it.
-pub const WAIT_BOUND: Duration = Duration::from_secs(40);
+pub const MAX_WAIT: Duration = Duration::from_secs(40);
 const POLL_PAUSE: Duration = Duration::from_millis(10);
 pub const SECRET: &str = "secret of the test fleet";
 
-/// Makes a version whose team subtrees hold the given values, by team and setting.
+/// Makes a version whose team subtrees hold the given values, as (team, setting, text).
 pub fn make_snapshot(version: Version, values: &[(&str, &str, &str)]) -> ConfigSnapshot {
     let mut trees: BTreeMap<String, TeamTree> = BTreeMap::new();
     for (team, name, text) in values {
@@ -56,13 +57,13 @@
     }
 }
 
-/// A version that names what it is, so that a mixture of two shows.
+/// Makes a version whose values contain its number, so that a mixture of two versions shows.
 pub fn numbered(version: Version) -> ConfigSnapshot {
     let text = format!("value {version}");
     make_snapshot(version, &[("board", "a", &text), ("records", "b", &text), ("shop", "c", "same")])
 }
 
-/// Makes a version with so many routes to one service.
+/// Makes a version with `count` routes to one service.
 pub fn with_routes(version: Version, count: usize) -> ConfigSnapshot {
     let service = "/board/queue".to_owned();
     let route = |index: usize| {
@@ -80,13 +81,13 @@
     from_trees(version, BTreeMap::from([("board".to_owned(), TeamTree { settings })]))
 }
 
-/// Makes text that no encoding makes much smaller.
+/// Makes text that hardly compresses.
 pub fn noise(bytes: usize) -> String {
     let mut rng = rand::rng();
     (0..bytes).map(|_| rng.random_range('#'..='[')).collect()
 }
 
-/// A version that no proxy may put in force: its route names a service that does not exist.
+/// Makes a version that no proxy may put in force: its route names a service that does not exist.
 pub fn dangling(version: Version) -> ConfigSnapshot {
     let mut snapshot = numbered(version);
     let route = SettingBody::Route(RouteSetting {
@@ -101,7 +102,7 @@
     snapshot
 }
 
-/// The platform's part that all daemons of a test share.
+/// Fake of the platform, shared by all daemons of a test.
 pub struct FakePlatform {
     newest: watch::Sender<Arc<ConfigSnapshot>>,
     is_down: AtomicBool,
@@ -127,11 +128,11 @@
 
     pub fn set_down(&self, is_down: bool) {
         self.is_down.store(is_down, Ordering::SeqCst);
-        // Wakes the watches that wait, as an outage cuts their connections.
+        // Wakes the waiting watches, as an outage cuts their connections.
         self.newest.send_modify(|_| ());
     }
 
-    fn up(&self) -> Result<(), SourceError> {
+    fn check_up(&self) -> Result<(), SourceError> {
         match self.is_down.load(Ordering::SeqCst) {
             true => Err(SourceError { reason: "outage".to_owned() }),
             false => Ok(()),
@@ -143,7 +144,7 @@
 impl ConfigSource for FakePlatform {
     async fn load(&self, _: &ConfigSnapshot) -> Result<ConfigSnapshot, SourceError> {
         self.reads.fetch_add(1, Ordering::SeqCst);
-        self.up()?;
+        self.check_up()?;
         Ok(ConfigSnapshot::clone(&self.newest.borrow()))
     }
 
@@ -152,12 +153,12 @@
         held: &ConfigSnapshot,
         timeout: Duration,
     ) -> Result<SourceNews, SourceError> {
-        let began = tokio::time::Instant::now();
+        let started_at = tokio::time::Instant::now();
         self.waits.fetch_add(1, Ordering::SeqCst);
         let mut newest = self.newest.subscribe();
         let wait = async {
             loop {
-                self.up()?;
+                self.check_up()?;
                 let found = newest.borrow_and_update().clone();
                 if found.version() > held.version() {
                     return Ok(ConfigSnapshot::clone(&found));
@@ -166,71 +167,72 @@
             }
         };
         match tokio::time::timeout(timeout, wait).await {
-            Ok(newer) => newer.map(|newer| SourceNews { newer: Some(newer), seen_at: began }),
-            Err(_) => Ok(SourceNews { newer: None, seen_at: began + timeout }),
+            Ok(newer) => newer.map(|newer| SourceNews { newer: Some(newer), seen_at: started_at }),
+            Err(_) => Ok(SourceNews { newer: None, seen_at: started_at + timeout }),
         }
     }
 }
 
-/// What one daemon's way to the platform does.
+/// State of one daemon's connection to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WayState {
+pub enum AccessState {
     /// Calls are answered.
     Open,
-    /// Calls are refused at once, those that wait included.
+    /// Calls are refused at once, including those that wait.
     Refuses,
     /// Calls are not answered.
     Silent,
 }
 
-/// A daemon's own way to the platform, which may be closed while the others' are open.
-pub struct PlatformWay {
+/// One daemon's own connection to the platform, which may fail while the others' work.
+pub struct PlatformAccess {
     platform: Arc<FakePlatform>,
-    state: watch::Sender<WayState>,
+    state: watch::Sender<AccessState>,
 }
 
-impl PlatformWay {
+impl PlatformAccess {
     pub fn new(platform: &Arc<FakePlatform>) -> Arc<Self> {
-        let state = watch::Sender::new(WayState::Open);
+        let state = watch::Sender::new(AccessState::Open);
         Arc::new(Self { platform: platform.clone(), state })
     }
 
-    pub fn set(&self, state: WayState) {
+    pub fn set(&self, state: AccessState) {
         self.state.send_replace(state);
     }
 
-    /// Carries a call whose answer is due within `timeout`, as far as the way allows.
-    async fn carry<T>(
+    /// Makes a call whose answer is due within `timeout`, as far as the state allows.
+    async fn call_through<T>(
         &self,
         timeout: Duration,
         call: impl Future<Output = Result<T, SourceError>>,
     ) -> Result<T, SourceError> {
-        // What a silent call is given beyond its own wait before it counts as lost.
+        // Time beyond its own wait after which an unanswered call fails.
         let grace = Duration::from_millis(700);
-        let mut refused = self.state.subscribe();
-        let mut held_back = self.state.subscribe();
-        // The sender of the states lives as long as the way.
-        let refusal = async { drop(refused.wait_for(|state| *state == WayState::Refuses).await) };
+        let mut refusal_state = self.state.subscribe();
+        let mut silenced = self.state.subscribe();
+        // The sender of the states lives as long as the connection.
+        let refusal =
+            async { drop(refusal_state.wait_for(|state| *state == AccessState::Refuses).await) };
         let answer = async {
             let answer = call.await;
-            drop(held_back.wait_for(|state| *state != WayState::Silent).await);
+            drop(silenced.wait_for(|state| *state != AccessState::Silent).await);
             answer
         };
-        let lost = |reason: &str| Err(SourceError { reason: reason.to_owned() });
+        let fail = |reason: &str| Err(SourceError { reason: reason.to_owned() });
         tokio::select! {
             // A call that is refused must not be answered as well.
             biased;
-            () = refusal => lost("refused"),
+            () = refusal => fail("refused"),
             answer = answer => answer,
-            () = tokio::time::sleep(timeout + grace) => lost("no answer in time"),
+            () = tokio::time::sleep(timeout + grace) => fail("no answer in time"),
         }
     }
 }
 
 #[async_trait]
-impl ConfigSource for PlatformWay {
+impl ConfigSource for PlatformAccess {
     async fn load(&self, held: &ConfigSnapshot) -> Result<ConfigSnapshot, SourceError> {
-        self.carry(Duration::from_secs(1), self.platform.load(held)).await
+        self.call_through(Duration::from_secs(1), self.platform.load(held)).await
     }
 
     async fn wait_newer(
@@ -238,14 +240,14 @@
         held: &ConfigSnapshot,
         timeout: Duration,
     ) -> Result<SourceNews, SourceError> {
-        self.carry(timeout, self.platform.wait_newer(held, timeout)).await
+        self.call_through(timeout, self.platform.wait_newer(held, timeout)).await
     }
 }
 
 #[async_trait]
 impl ContactBook for FakePlatform {
     async fn read(&self) -> Result<ContactMap, SourceError> {
-        self.up()?;
+        self.check_up()?;
         Ok(self.contacts.lock().expect("lock").clone())
     }
 
@@ -255,7 +257,7 @@
         seen: Option<&[SocketAddr]>,
         addresses: &[SocketAddr],
     ) -> Result<(), SourceError> {
-        self.up()?;
+        self.check_up()?;
         let mut contacts = self.contacts.lock().expect("lock");
         if contacts.get(data_centre).map(Vec::as_slice) != seen {
             return Err(SourceError { reason: "changed".to_owned() });
@@ -265,7 +267,7 @@
     }
 }
 
-/// Keeps the acknowledgements that all relays of a test gave on.
+/// Stores the acknowledgements that all relays of a test pass on.
 #[derive(Default)]
 pub struct FakeSink {
     acks: Mutex<BTreeMap<String, ProxyAck>>,
@@ -285,15 +287,15 @@
 impl AckSink for FakeSink {
     fn note(&self, acks: Vec<ProxyAck>) {
         self.noted.fetch_add(acks.len(), Ordering::SeqCst);
-        let mut held = self.acks.lock().expect("lock");
-        held.extend(acks.into_iter().map(|ack| (ack.proxy.clone(), ack)));
+        let mut noted = self.acks.lock().expect("lock");
+        noted.extend(acks.into_iter().map(|ack| (ack.proxy.clone(), ack)));
     }
 }
 
-/// One running daemon's spread. Dropping it ends it without a word, as a crash does.
+/// The control thread of one daemon. Dropping it stops the daemon without a leave, as in a crash.
 pub struct TestDaemon {
     pub handle: SpreadHandle,
-    pub held: Arc<HeldConfig>,
+    pub config: Arc<HeldConfig>,
     pub members: Arc<MemberBoard>,
     pub meter: Arc<ControlMeter>,
     pub address: SocketAddr,
@@ -302,10 +304,10 @@
 
 impl TestDaemon {
     pub fn version(&self) -> Version {
-        self.held.current().version()
+        self.config.current().version()
     }
 
-    pub fn present(&self) -> usize {
+    pub fn present_count(&self) -> usize {
         self.members.view().values().filter(|record| record.is_present()).count()
     }
 
@@ -314,23 +316,24 @@
     }
 }
 
-/// What the daemons of a test share.
+/// State shared by the daemons of a test.
 pub struct TestFleet {
     pub platform: Arc<FakePlatform>,
     pub sink: Arc<FakeSink>,
     pub options: SpreadOptions,
-    started: AtomicUsize,
+    start_count: AtomicUsize,
 }
 
 impl TestFleet {
     pub fn new() -> Self {
-        // A daemon of one test may be given the port of another test's dead one.
+        // A daemon of one test may get the port of another test's stopped one, so each fleet has
+        // its own secret.
         static FLEETS: AtomicUsize = AtomicUsize::new(0);
         let number = FLEETS.fetch_add(1, Ordering::Relaxed);
         let secret = format!("{SECRET} {number} of {}", std::process::id());
         let options = SpreadOptions { secret, ..SpreadOptions::default() };
-        let started = AtomicUsize::new(0);
-        Self { platform: FakePlatform::new(), sink: Arc::default(), options, started }
+        let start_count = AtomicUsize::new(0);
+        Self { platform: FakePlatform::new(), sink: Arc::default(), options, start_count }
     }
 
     pub fn start(&self, name: &str, data_centre: &str, seeds: &[SocketAddr]) -> TestDaemon {
@@ -345,11 +348,11 @@
         options: SpreadOptions,
         platform: Arc<FakePlatform>,
     ) -> TestDaemon {
-        self.start_over(name, data_centre, options, platform.clone(), platform)
+        self.start_with_source(name, data_centre, options, platform.clone(), platform)
     }
 
-    /// Starts a daemon whose way to the source is not that to its contacts.
-    pub fn start_over(
+    /// Starts a daemon whose source and contact book may be different platforms.
+    pub fn start_with_source(
         &self,
         name: &str,
         data_centre: &str,
@@ -358,21 +361,21 @@
         contacts: Arc<FakePlatform>,
     ) -> TestDaemon {
         let listener = bind_any();
-        let control = listener.local_addr().expect("an address");
-        self.start_at((listener, control), name, data_centre, options, source, contacts)
+        let address = listener.local_addr().expect("an address");
+        self.start_at((listener, address), name, data_centre, options, source, contacts)
     }
 
-    /// Starts a daemon that others reach by a link of its own.
-    pub fn start_behind(
+    /// Starts a daemon that others reach through a bandwidth-limited link.
+    pub fn start_behind_link(
         &self,
         bytes_per_s: usize,
         name: &str,
         data_centre: &str,
         seeds: &[SocketAddr],
         source: Arc<dyn ConfigSource>,
-    ) -> (TestDaemon, ThinLink) {
+    ) -> (TestDaemon, SlowLink) {
         let listener = bind_any();
-        let link = ThinLink::start(listener.local_addr().expect("an address"), bytes_per_s);
+        let link = SlowLink::start(listener.local_addr().expect("an address"), bytes_per_s);
         let options = SpreadOptions { seeds: seeds.to_vec(), ..self.options.clone() };
         let place = (listener, link.address);
         (self.start_at(place, name, data_centre, options, source, self.platform.clone()), link)
@@ -380,14 +383,14 @@
 
     fn start_at(
         &self,
-        (listener, control): (TcpListener, SocketAddr),
+        (listener, address): (TcpListener, SocketAddr),
         name: &str,
         data_centre: &str,
         options: SpreadOptions,
         source: Arc<dyn ConfigSource>,
         contacts: Arc<FakePlatform>,
     ) -> TestDaemon {
-        let incarnation = self.started.fetch_add(1, Ordering::SeqCst) as u64 + 1;
+        let incarnation = self.start_count.fetch_add(1, Ordering::SeqCst) as u64 + 1;
         let record = MemberRecord {
             proxy: name.to_owned(),
             incarnation,
@@ -395,16 +398,16 @@
             status: MemberStatus::Alive,
             data_centre: data_centre.to_owned(),
             region: "slovenia".to_owned(),
-            control,
-            guard: control,
+            control: address,
+            guard: address,
             endpoints: Vec::new(),
         };
-        let held = Arc::new(HeldConfig::new());
+        let config = Arc::new(HeldConfig::new());
         let members = Arc::new(MemberBoard::new(record));
         let meter = Arc::new(ControlMeter::default());
         let parts = SpreadParts {
             notices: None,
-            held: held.clone(),
+            held: config.clone(),
             members: members.clone(),
             source,
             contacts: Some(contacts),
@@ -412,7 +415,7 @@
             meter: meter.clone(),
         };
         let handle = start_spread(options, listener, parts).expect("spread starts");
-        TestDaemon { handle, held, members, meter, address: control, name: name.to_owned() }
+        TestDaemon { handle, config, members, meter, address, name: name.to_owned() }
     }
 
     /// Starts `count` daemons in each data centre and waits until all know each other.
@@ -426,7 +429,7 @@
         }
         let total = daemons.len();
         wait_for("all daemons to meet and be ready", || {
-            daemons.iter().all(|daemon| daemon.present() == total && daemon.held.is_ready())
+            daemons.iter().all(|daemon| daemon.present_count() == total && daemon.config.is_ready())
         });
         daemons
     }
@@ -443,7 +446,7 @@
     kinds.filter(|counted| counted.kind == kind).map(|counted| counted.calls).sum()
 }
 
-/// Names the relays of a data centre, first choice first.
+/// Returns the names of a data centre's relays, ordered by preference.
 pub fn relays(daemon: &TestDaemon, data_centre: &str) -> Vec<String> {
     let view = daemon.members.view();
     choose_relays(view.values().map(|record| &**record), data_centre, 2)
@@ -453,12 +456,16 @@
     daemons.iter().all(|daemon| daemon.version() >= version)
 }
 
-/// Waits for a condition and gives how long it took.
+/// Waits for a condition and returns how long it took.
+///
+/// # Panics
+///
+/// Panics if the condition is not met within [`MAX_WAIT`].
 pub fn wait_for(what: &str, mut is_met: impl FnMut() -> bool) -> Duration {
-    let begin = Instant::now();
+    let started_at = Instant::now();
     while !is_met() {
-        assert!(begin.elapsed() < WAIT_BOUND, "waited in vain for {what}");
+        assert!(started_at.elapsed() < MAX_WAIT, "waited in vain for {what}");
         std::thread::sleep(POLL_PAUSE);
     }
-    begin.elapsed()
+    started_at.elapsed()
 }
--- a/components/spread/tests/control_bytes.rs
+++ b/components/spread/tests/control_bytes.rs
@@ -1,4 +1,4 @@
-//! What control traffic costs a daemon, idle and per change.
+//! Cost of control traffic per daemon, idle and per change.
 
 mod common;
 
@@ -7,8 +7,8 @@
 use common::{TestDaemon, TestFleet, all_hold, numbered, wait_for};
 use sk_spread::PassMode;
 
-/// Most that a daemon may spend on control, in bytes a second in both directions.
-const BUDGET: u64 = 20_000;
+/// Limit of a daemon's control traffic, in bytes a second in both directions.
+const MAX_BYTES_PER_S: u64 = 20_000;
 const WINDOW: Duration = Duration::from_secs(4);
 const CHANGES: u64 = 10;
 
@@ -17,23 +17,23 @@
     bytes.map(|bytes| bytes.sent + bytes.received).sum()
 }
 
-/// Gives bytes a daemon and second while nothing happens.
+/// Returns the bytes per daemon and second while nothing changes.
 fn idle_rate(daemons: &[TestDaemon]) -> u64 {
-    let (before, begin) = (total_bytes(daemons), Instant::now());
+    let (before, started_at) = (total_bytes(daemons), Instant::now());
     // The window is what is measured; there is no condition to wait for.
     std::thread::sleep(WINDOW);
     let bytes = (total_bytes(daemons) - before) as f64;
-    (bytes / begin.elapsed().as_secs_f64()) as u64 / daemons.len() as u64
+    (bytes / started_at.elapsed().as_secs_f64()) as u64 / daemons.len() as u64
 }
 
-/// Gives bytes a daemon and change beyond the idle ones.
+/// Returns the bytes per daemon and change beyond the idle ones.
 fn change_bytes(daemons: &[TestDaemon], idle: u64, mut change: impl FnMut(u64)) -> i64 {
-    let (before, begin) = (total_bytes(daemons), Instant::now());
+    let (before, started_at) = (total_bytes(daemons), Instant::now());
     (0..CHANGES).for_each(&mut change);
     // Announcements of the second relays and acknowledgements still follow.
     std::thread::sleep(Duration::from_secs(2));
     let bytes = (total_bytes(daemons) - before) as f64 / daemons.len() as f64;
-    ((bytes - idle as f64 * begin.elapsed().as_secs_f64()) / CHANGES as f64) as i64
+    ((bytes - idle as f64 * started_at.elapsed().as_secs_f64()) / CHANGES as f64) as i64
 }
 
 fn measure(mode: PassMode) {
@@ -50,7 +50,7 @@
     let burst = change_bytes(&daemons, idle, |round| {
         let version = 2 + CHANGES + round;
         fleet.platform.accept(numbered(version));
-        // Operators' changes in a series; what is measured is that they come close together.
+        // Simulates operators' changes in a series, close together.
         std::thread::sleep(Duration::from_millis(50));
         if round + 1 == CHANGES {
             wait_for("the last version", || all_hold(&daemons, version));
@@ -59,7 +59,7 @@
     println!(
         "{mode:?}: idle {idle} bytes/s a daemon; a daemon and change: {single} B one by one, {burst} B in a series"
     );
-    assert!(idle < BUDGET / 2, "idle takes {idle} bytes/s of {BUDGET}");
+    assert!(idle < MAX_BYTES_PER_S / 2, "idle takes {idle} bytes/s of {MAX_BYTES_PER_S}");
 }
 
 #[test]
--- a/components/spread/tests/few_pushes.rs
+++ b/components/spread/tests/few_pushes.rs
@@ -1,30 +1,31 @@
-//! Which daemons push a version they read at the source.
+//! Which daemons push a version that they read at the source.
 
 mod common;
 
 use std::time::Duration;
 
 use common::{
-    TestDaemon, TestFleet, ThinLink, WayFleet, WayState, all_hold, count_calls, numbered, wait_for,
+    AccessFleet, AccessState, SlowLink, TestDaemon, TestFleet, all_hold, count_calls, numbered,
+    wait_for,
 };
 use sk_member::PushTree;
-use sk_spread::{PassMode, PassStyle, SpreadOptions, VersionOrigin, plan_pass};
+use sk_spread::{ForwardKind, PassMode, SpreadOptions, VersionOrigin, plan_forward};
 
 /// Guards against every daemon that reads the source pushing what it read, as if it were the first
-/// relay: the copies fill thin links and hold up the versions that follow.
+/// relay: the copies fill slow links and delay the versions that follow.
 #[test]
 fn other_watchers_announce() {
     let own = "lj1-a".to_owned();
-    let plan = plan_pass(&VersionOrigin::Source, &own, None, PassMode::Push);
-    assert_eq!((plan.style, plan.delay), (PassStyle::Announce, Duration::ZERO));
+    let plan = plan_forward(&VersionOrigin::Source, &own, None, PassMode::Push);
+    assert_eq!((plan.kind, plan.delay), (ForwardKind::Announce, Duration::ZERO));
 }
 
-/// Guards against the same in a fleet: the relays are refused by the source, and those that read it
-/// in their place push nothing.
+/// Guards against the same in a fleet: the source refuses the relays, and the daemons that read it
+/// in their place must push nothing.
 #[test]
-fn stand_ins_announce() {
-    let fleet = WayFleet::start();
-    fleet.close(1, WayState::Refuses);
+fn takeovers_announce() {
+    let fleet = AccessFleet::start();
+    fleet.set_access(1, AccessState::Refuses);
     let before = count_calls(&fleet.daemons, "push");
     fleet.accept(2);
     std::thread::sleep(Duration::from_secs(3));
@@ -32,7 +33,7 @@
     assert_eq!(count_calls(&fleet.daemons, "push") - before, 0);
 }
 
-/// Guards against daemons that start together pushing whole configurations at each other.
+/// Guards against daemons that start together and push whole configurations to each other.
 #[test]
 fn starts_push_nothing() {
     let mut fleet = TestFleet::new();
@@ -48,25 +49,25 @@
     assert_eq!(count_calls(&daemons, "push"), 0);
 }
 
-/// Guards against a daemon that answers nothing having its whole subtree pushed at by its parent,
-/// which takes the parent's link from the children that do answer.
+/// Guards against a parent that pushes to the whole subtree of a silent child, which takes the
+/// parent's link from the children that do answer.
 #[test]
 fn orphans_announced() {
     let mut fleet = TestFleet::new();
     fleet.options = SpreadOptions { relays: 1, ..fleet.options.clone() };
-    let started: Vec<(TestDaemon, ThinLink)> = (0..16).fold(Vec::new(), |mut started, index| {
+    let started: Vec<(TestDaemon, SlowLink)> = (0..16).fold(Vec::new(), |mut started, index| {
         let seeds: Vec<_> = started.iter().take(2).map(|(daemon, _)| daemon.address).collect();
         let (name, source) = (format!("lj1-{index:02}"), fleet.platform.clone());
-        started.push(fleet.start_behind(10_000_000, &name, "lj1", &seeds, source));
+        started.push(fleet.start_behind_link(10_000_000, &name, "lj1", &seeds, source));
         started
     });
     let (daemons, links): (Vec<_>, Vec<_>) = started.into_iter().unzip();
     wait_for("all daemons to meet", || {
-        daemons.iter().all(|daemon| daemon.present() == 16 && daemon.held.is_ready())
+        daemons.iter().all(|daemon| daemon.present_count() == 16 && daemon.config.is_ready())
     });
     fleet.platform.accept(numbered(1));
     wait_for("the version everywhere", || all_hold(&daemons, 1));
-    // Views of who watches the source settle a little after the last daemon came.
+    // The choice of the daemons that watch the source settles shortly after the last daemon joins.
     std::thread::sleep(Duration::from_secs(1));
     fleet.platform.accept(numbered(2));
     wait_for("the version everywhere", || all_hold(&daemons, 2));
--- a/components/spread/tests/late_proof.rs
+++ b/components/spread/tests/late_authentication.rs
@@ -1,4 +1,4 @@
-//! Connections to a peer that does not prove the secret in time.
+//! Connections to a peer that does not authenticate in time.
 
 mod common;
 
@@ -11,14 +11,14 @@
 use common::TestFleet;
 use sk_member::{MemberRecord, MemberStatus, MergeOutcome};
 
-/// Calls give up after 2 s and the connection's end takes 0.5 s; the rest is for a busy machine.
-const BOUND: Duration = Duration::from_secs(15);
+/// Calls give up after 2 s and closing takes 0.5 s; the rest is for a busy machine.
+const MAX_CLOSE_TIME: Duration = Duration::from_secs(15);
 
-/// The instance beside is paused: its kernel accepts connections and nobody answers. The call that
-/// opened a connection gives up. If the connection stayed open, each further call would leave one
-/// more behind, and the peer, once awake, would enter it among its own as a way back here that
-/// refuses every call. One would notice growing numbers of open files, and heartbeats of the peer
-/// that stay away although it runs.
+/// Guards against connections left open to a paused instance, whose kernel accepts connections
+/// while its daemon does not answer. The call that opened a connection gives up. If the connection
+/// stayed open, each further call would leave one more behind; and the peer, once resumed, would
+/// store it as its connection back, on which every call is refused. The symptoms are a growing
+/// number of open files, and missing heartbeats of a peer that runs.
 #[test]
 fn connection_closed() {
     let fleet = TestFleet::new();
@@ -39,16 +39,16 @@
     let merge = |outcome: &MergeOutcome| *outcome == MergeOutcome::Newer;
     daemon.members.update(|table| table.merge(record), merge);
     let (mut stream, _) = paused.accept().expect("a call connects");
-    let begin = Instant::now();
-    stream.set_read_timeout(Some(BOUND)).expect("timeout is set");
+    let started_at = Instant::now();
+    stream.set_read_timeout(Some(MAX_CLOSE_TIME)).expect("timeout is set");
     let mut bytes = [0; 1024];
     loop {
         match stream.read(&mut bytes) {
             Ok(0) => break,
             Err(err) if err.kind() == ErrorKind::ConnectionReset => break,
-            Ok(_) => assert!(begin.elapsed() < BOUND, "still sends"),
-            Err(err) => panic!("still open after {:?}: {err}", begin.elapsed()),
+            Ok(_) => assert!(started_at.elapsed() < MAX_CLOSE_TIME, "still sends"),
+            Err(err) => panic!("still open after {:?}: {err}", started_at.elapsed()),
         }
     }
-    println!("closed after {:?}", begin.elapsed());
+    println!("closed after {:?}", started_at.elapsed());
 }
--- a/components/spread/tests/crossing_updates.rs
+++ b/components/spread/tests/overlapping_updates.rs
@@ -1,4 +1,5 @@
-//! Versions that follow each other faster than they spread, and data centres that are cut off.
+//! Versions that follow each other faster than they are forwarded, and data centres that are cut
+//! off.
 
 mod common;
 
@@ -10,10 +11,11 @@
 use common::{FakePlatform, TestFleet, all_hold, make_snapshot, noise, numbered, wait_for};
 use sk_spread::{PassMode, SpreadOptions};
 
-/// Operators change settings several times within a second, and the versions overtake each other
-/// in the tree. No proxy may go back for a moment, and all must end on the newest.
+/// Guards against versions that overtake each other in the tree when operators change settings
+/// several times within a second. No proxy may go back for a moment, and all must end on the
+/// newest.
 #[test]
-fn never_back() {
+fn never_goes_back() {
     let fleet = TestFleet::new();
     let daemons = fleet.start_all(&["lj1", "lj2"], 6);
     let is_over = AtomicBool::new(false);
@@ -23,7 +25,7 @@
             let mut seen = vec![0; daemons.len()];
             while !is_over.load(Ordering::SeqCst) {
                 for (seen, daemon) in seen.iter_mut().zip(daemons) {
-                    let current = daemon.held.current();
+                    let current = daemon.config.current();
                     assert!(current.version() >= *seen, "{} went back", daemon.name);
                     *seen = current.version();
                     if *seen > 0 {
@@ -43,8 +45,8 @@
     });
 }
 
-/// Changes keep coming faster than relays gather them. Announcements that waited for a pause would
-/// never go out, and proxies would hold the first version for as long as operators work.
+/// Guards against announcements that wait for a quiet period: while changes arrive faster than
+/// relays batch them, none would be sent, and proxies would stay on the first version.
 #[test]
 fn steady_changes() {
     let mut fleet = TestFleet::new();
@@ -61,31 +63,34 @@
     wait_for("the newest everywhere", || all_hold(&daemons, version));
 }
 
-/// A data centre loses its way to the platform, but not to the others. Its relays wait in vain for
-/// a change that all others have in force; the daemon that hears of it first must pass it on.
+/// Guards against a data centre that loses its connection to the platform but not to its peers:
+/// its relays cannot see a change that all others have in force, so the daemon that learns of it
+/// first must forward it.
 #[test]
 fn cut_data_centre() {
     let fleet = TestFleet::new();
-    let near = fleet.start_all(&["lj1"], 4);
-    let cut = FakePlatform::new();
-    cut.set_down(true);
-    let options = SpreadOptions { seeds: vec![near[0].address], ..fleet.options.clone() };
-    let start =
-        |index| fleet.start_with(&format!("lj2-{index}"), "lj2", options.clone(), Arc::clone(&cut));
-    let far: Vec<_> = (0..6).map(start).collect();
+    let connected = fleet.start_all(&["lj1"], 4);
+    let unreachable = FakePlatform::new();
+    unreachable.set_down(true);
+    let options = SpreadOptions { seeds: vec![connected[0].address], ..fleet.options.clone() };
+    let start = |index| {
+        fleet.start_with(&format!("lj2-{index}"), "lj2", options.clone(), Arc::clone(&unreachable))
+    };
+    let isolated: Vec<_> = (0..6).map(start).collect();
     wait_for("all to meet", || {
-        far.iter().all(|daemon| daemon.present() == 10 && daemon.held.is_ready())
+        isolated.iter().all(|daemon| daemon.present_count() == 10 && daemon.config.is_ready())
     });
     for version in 1..=3 {
         fleet.platform.accept(numbered(version));
-        let took = wait_for("the version behind the cut", || all_hold(&far, version));
+        let took = wait_for("the version behind the cut", || all_hold(&isolated, version));
         println!("behind the cut after {took:?}");
         assert!(took.as_secs() < 11, "took {took:?}");
     }
 }
 
-/// A whole data centre asks one daemon for a large version at once. Serving all of them together
-/// would take that daemon's memory; refused ones must come back and get it all the same.
+/// Guards against a whole data centre that fetches a large version from one daemon at once.
+/// Serving all fetches together would exhaust that daemon's memory; refused ones must retry and
+/// succeed.
 #[test]
 fn capped_fetches() {
     let mut fleet = TestFleet::new();
--- a/components/spread/tests/record_news.rs
+++ b/components/spread/tests/record_rumors.rs
@@ -1,4 +1,4 @@
-//! Records of daemons and backend servers on their way to all others.
+//! Distribution of the records of daemons and backend servers.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use common::{TestDaemon, TestFleet, wait_for};
 use sk_member::{EndpointRecord, EndpointStatus, MemberStatus};
 
-const BOUND: Duration = Duration::from_secs(3);
+const MAX_RECORD_DELAY: Duration = Duration::from_secs(3);
 
 fn set_server(daemon: &TestDaemon, server: &str, status: EndpointStatus) {
     let endpoint = EndpointRecord {
@@ -35,27 +35,27 @@
             set_server(daemon, &format!("{}-server", daemon.name), status);
             let took = wait_for("the news", || all_see(&daemons, &daemon.name, status));
             println!("{status} known everywhere after {took:?}");
-            assert!(took < BOUND, "took {took:?}");
+            assert!(took < MAX_RECORD_DELAY, "took {took:?}");
         }
     }
 }
 
-/// A daemon stops in good order, and another one crashes. Work sent to either would be refused or
-/// lost, so both must be known everywhere within seconds.
+/// Guards against requests sent to a daemon that was stopped or has crashed, which would be
+/// refused or lost: both must be known everywhere within seconds.
 #[test]
 fn leave_and_crash() {
     let fleet = TestFleet::new();
     let mut daemons = fleet.start_all(&["lj1", "lj2", "mb1"], 5);
-    let leaver = daemons.remove(7);
-    leaver.leave();
+    let leaving = daemons.remove(7);
+    leaving.leave();
     let knows = |daemon: &TestDaemon, name: &str, status| {
         daemon.members.view().get(name).is_some_and(|record| record.status == status)
     };
     let took = wait_for("the leave", || {
-        daemons.iter().all(|daemon| knows(daemon, &leaver.name, MemberStatus::Leaving))
+        daemons.iter().all(|daemon| knows(daemon, &leaving.name, MemberStatus::Leaving))
     });
     println!("leave known after {took:?}");
-    assert!(took < BOUND, "took {took:?}");
+    assert!(took < MAX_RECORD_DELAY, "took {took:?}");
     let crashed = daemons.remove(2);
     let name = crashed.name.clone();
     drop(crashed);
@@ -63,5 +63,5 @@
         daemons.iter().all(|daemon| knows(daemon, &name, MemberStatus::Gone))
     });
     println!("crash known after {took:?}");
-    assert!(took < BOUND, "took {took:?}");
+    assert!(took < MAX_RECORD_DELAY, "took {took:?}");
 }
--- a/components/spread/tests/relay_stop.rs
+++ b/components/spread/tests/relay_stop.rs
@@ -1,14 +1,13 @@
-//! Relays that end while a version is under way.
+//! Relays that stop while a version is being forwarded.
 
 mod common;
 
 use common::{TestFleet, all_hold, numbered, relays, wait_for};
 
-/// The instance of the first relay is replaced in the moment in which it passes a change on: some
-/// daemons have got it and some have not. Callers at the latter would be sent by old routes
-/// for as long as nobody notices.
+/// Guards against daemons left on an old version when the instance of the first relay is replaced
+/// during a push. Their callers would be sent by old routes until someone noticed.
 #[test]
-fn stopped_mid_push() {
+fn relay_stopped_during_push() {
     let fleet = TestFleet::new();
     let mut daemons = fleet.start_all(&["lj1"], 12);
     for version in 1..=4 {
@@ -22,16 +21,16 @@
         assert!(took.as_secs() < 11, "took {took:?}");
         let count = daemons.len();
         let known = wait_for("the relay's end to be known", || {
-            daemons.iter().all(|daemon| daemon.present() == count)
+            daemons.iter().all(|daemon| daemon.present_count() == count)
         });
         println!("version after {took:?}, end of the relay {known:?} later");
     }
 }
 
-/// A relay restarts under its name faster than anyone misses it, and has forgotten the
-/// acknowledgements that it took and had not kept. The report would say "pending" for ever.
+/// Guards against lost acknowledgements when a relay restarts under its name before anyone detects
+/// it, without those that it had accepted and not stored. The report would say "pending" for ever.
 #[test]
-fn new_relay_learns_acks() {
+fn restarted_relay_gets_acks() {
     let fleet = TestFleet::new();
     let mut daemons = fleet.start_all(&["lj1"], 6);
     fleet.platform.accept(numbered(1));
--- a/components/spread/tests/relays_away.rs
+++ b/components/spread/tests/relays_away.rs
@@ -1,60 +1,59 @@
-//! Daemons that watch the source for their data centre and do not reach it, while others would.
+//! Data centres whose source-watching daemons cannot reach the source while others could.
 
 mod common;
 
 use std::time::Duration;
 
-use common::{CENTRE_DAEMONS, DATA_CENTRES, WayFleet, WayState};
+use common::{AccessFleet, AccessState, DAEMONS_PER_CENTRE, DATA_CENTRES};
 
-/// The platform refuses the calls of one daemon in each data centre, the one that watches it for the
-/// others, and serves everyone else. Callers at all daemons go on being sent by old routes, for as
-/// long as the refusal lasts. A relay used to be replaced only when it died, and one that is refused
-/// is alive. On such a day the four relays made one to three calls a second that all failed, and
-/// nine daemons that the platform would have served made none in nine seconds.
+/// Guards against a relay that the platform refuses and that is not replaced because it is alive.
+/// Callers at all daemons would be sent by old routes for as long as the refusal lasts. If relays
+/// were replaced only when they die, the 4 relays would make 1 to 3 failing calls a second, and 9
+/// daemons that the platform would serve would make none in 9 seconds.
 #[test]
 fn relays_refused() {
-    let fleet = WayFleet::start();
-    fleet.close(1, WayState::Refuses);
+    let fleet = AccessFleet::start();
+    fleet.set_access(1, AccessState::Refuses);
     fleet.accept(2);
-    // The next one finds the fleet as the refusal has left it.
+    // The second version arrives after the fleet has adapted to the refusal.
     std::thread::sleep(Duration::from_secs(3));
     fleet.accept(3);
-    fleet.close(1, WayState::Open);
+    fleet.set_access(1, AccessState::Open);
     fleet.accept(4);
 }
 
-/// The platform's answers to the relays stay away without a word. A relay learns it only when a
-/// watch does not end, and a version accepted in the moment in which the silence begins is to be in
-/// force as soon as any other.
+/// Guards against relays whose platform answers stop without an error. A relay notices only when a
+/// watch does not end, and a version accepted at that very moment must be in force as soon as any
+/// other.
 #[test]
 fn relays_silent() {
-    let fleet = WayFleet::start();
-    fleet.close(1, WayState::Silent);
+    let fleet = AccessFleet::start();
+    fleet.set_access(1, AccessState::Silent);
     fleet.accept(2);
     std::thread::sleep(Duration::from_secs(3));
     fleet.accept(3);
-    fleet.close(1, WayState::Open);
+    fleet.set_access(1, AccessState::Open);
     fleet.accept(4);
 }
 
-/// Most daemons of each data centre are refused, the first two choices among them. The last one is
-/// the only one there that can learn of a version.
+/// Guards against a refusal of most daemons of each data centre, including the first two choices:
+/// the last daemon is the only one there that can learn of a version.
 #[test]
 fn most_refused() {
-    let fleet = WayFleet::start();
-    fleet.close(CENTRE_DAEMONS - 1, WayState::Refuses);
+    let fleet = AccessFleet::start();
+    fleet.set_access(DAEMONS_PER_CENTRE - 1, AccessState::Refuses);
     fleet.accept(2);
     std::thread::sleep(Duration::from_secs(3));
     fleet.accept(3);
 }
 
-/// A whole data centre does not reach the platform, but its peers elsewhere do. Its callers are to be
-/// sent by the new routes as soon as those of the others.
+/// Guards against a data centre that cannot reach the platform while its peers elsewhere can: it
+/// must get new routes as soon as the others.
 #[test]
 fn one_centre_refused() {
-    let fleet = WayFleet::start();
+    let fleet = AccessFleet::start();
     for name in fleet.ranked(DATA_CENTRES[0]) {
-        fleet.ways[&name].set(WayState::Refuses);
+        fleet.accesses[&name].set(AccessState::Refuses);
     }
     fleet.accept(2);
     std::thread::sleep(Duration::from_secs(3));
--- a/components/spread/tests/source_age.rs
+++ b/components/spread/tests/source_age.rs
@@ -1,4 +1,4 @@
-//! How old each daemon's word from the source is.
+//! Age of the configuration source's last confirmation at each daemon.
 
 mod common;
 
@@ -10,8 +10,8 @@
     daemon.handle.reader().state().source_age_ms.map(Duration::from_millis)
 }
 
-/// The source goes away for everyone. Routes look the same as on a calm day, and an engineer who asks
-/// a daemon that does not watch the source itself has only the age to see it by.
+/// Guards against an outage of the source that no one sees: routes look the same as usual, and for
+/// a daemon that does not watch the source itself only the age shows it.
 #[test]
 fn age_grows_in_outage() {
     let fleet = TestFleet::new();
--- a/components/spread/tests/source_outage.rs
+++ b/components/spread/tests/source_outage.rs
@@ -1,4 +1,4 @@
-//! The platform away, and daemons that start meanwhile.
+//! Outages of the platform, and daemons that start meanwhile.
 
 mod common;
 
@@ -7,8 +7,8 @@
 use common::{FakePlatform, TestFleet, all_hold, numbered, wait_for};
 use sk_spread::SpreadOptions;
 
-/// The platform goes away for a while. Daemons go on with what they hold, one that restarts gets
-/// it from its peers, and a change accepted after the return is in force everywhere.
+/// Guards against the effects of an outage: daemons keep the version they hold, one that restarts
+/// gets it from its peers, and a change accepted afterwards comes into force everywhere.
 #[test]
 fn outage_and_return() {
     let fleet = TestFleet::new();
@@ -21,7 +21,7 @@
     let name = gone.name.clone();
     drop(gone);
     let late = fleet.start(&name, "lj1", &seeds);
-    wait_for("the restarted daemon", || late.held.is_ready());
+    wait_for("the restarted daemon", || late.config.is_ready());
     assert_eq!(late.version(), 3);
     daemons.push(late);
     assert!(all_hold(&daemons, 3));
@@ -31,30 +31,30 @@
     assert!(took.as_secs() < 11, "took {took:?}");
 }
 
-/// Everything restarts while the platform is away: nobody reachable knows a version. Serving the
-/// empty configuration would refuse every caller as "no route"; instead the daemons say
-/// that they are not ready, and hold the version as soon as the platform is back.
+/// Guards against serving the empty configuration when all daemons restart while the platform is
+/// unreachable and no reachable daemon knows a version: every caller would get "no route". The
+/// daemons must report that they are not ready, and hold the version once the platform is back.
 #[test]
-fn nobody_knows() {
+fn no_peer_has_version() {
     let fleet = TestFleet::new();
     fleet.platform.accept(numbered(7));
     fleet.platform.set_down(true);
     let first = fleet.start("lj1-00", "lj1", &[]);
     let second = fleet.start("lj1-01", "lj1", &[first.address]);
     let daemons = [first, second];
-    wait_for("them to meet", || daemons.iter().all(|daemon| daemon.present() == 2));
+    wait_for("them to meet", || daemons.iter().all(|daemon| daemon.present_count() == 2));
     wait_for("the platform to be asked in vain", || {
         daemons.iter().all(|daemon| daemon.handle.reader().state().source_fault.is_some())
     });
-    assert!(daemons.iter().all(|daemon| !daemon.held.is_ready() && daemon.version() == 0));
+    assert!(daemons.iter().all(|daemon| !daemon.config.is_ready() && daemon.version() == 0));
     fleet.platform.set_down(false);
     wait_for("the version", || all_hold(&daemons, 7));
 }
 
-/// As before, with many daemons: when the platform returns, all of them wait for it. If each read
-/// it for itself, the return would exhaust its rate and look like the next outage.
+/// Guards against the same with many daemons, which all wait for the platform to return. If each
+/// read it for itself, the return would exhaust the rate limit and look like the next outage.
 #[test]
-fn many_wait_for_return() {
+fn many_wait_for_platform() {
     let fleet = TestFleet::new();
     fleet.platform.accept(numbered(7));
     fleet.platform.set_down(true);
@@ -62,11 +62,13 @@
     let seeds = [first.address];
     let others = (1..30).map(|index| fleet.start(&format!("lj1-{index:02}"), "lj1", &seeds));
     let daemons: Vec<_> = [first].into_iter().chain(others).collect();
-    wait_for("them to meet", || daemons.iter().all(|daemon| daemon.present() == daemons.len()));
+    wait_for("them to meet", || {
+        daemons.iter().all(|daemon| daemon.present_count() == daemons.len())
+    });
     wait_for("the platform to be asked in vain", || {
         fleet.platform.reads.load(Ordering::SeqCst) >= 4
     });
-    assert!(daemons.iter().all(|daemon| !daemon.held.is_ready()));
+    assert!(daemons.iter().all(|daemon| !daemon.config.is_ready()));
     fleet.platform.set_down(false);
     fleet.platform.reads.store(0, Ordering::SeqCst);
     let took = wait_for("the version", || all_hold(&daemons, 7));
@@ -76,19 +78,19 @@
     assert!(took.as_secs() < 11, "took {took:?}");
 }
 
-/// A daemon's own way to the platform is cut while its peers' are not. Without the peers it would
-/// never become ready, or would serve something older than it served before.
+/// Guards against a daemon that cannot reach the platform while its peers can: without the peers
+/// it would never become ready, or would serve something older than it served before.
 #[test]
-fn own_way_cut() {
+fn own_connection_cut() {
     let fleet = TestFleet::new();
     let daemons = fleet.start_all(&["lj1"], 4);
     fleet.platform.accept(numbered(2));
     wait_for("the version everywhere", || all_hold(&daemons, 2));
-    let cut = FakePlatform::new();
-    cut.set_down(true);
+    let unreachable = FakePlatform::new();
+    unreachable.set_down(true);
     let options = SpreadOptions { seeds: vec![daemons[0].address], ..fleet.options.clone() };
-    let late = fleet.start_with("lj1-cut", "lj1", options, cut);
-    wait_for("readiness", || late.held.is_ready());
+    let late = fleet.start_with("lj1-cut", "lj1", options, unreachable);
+    wait_for("readiness", || late.config.is_ready());
     assert_eq!(late.version(), 2);
     fleet.platform.accept(numbered(3));
     wait_for("the next version", || late.version() == 3);
--- a/components/spread/tests/tree_push.rs
+++ b/components/spread/tests/tree_push.rs
@@ -1,4 +1,4 @@
-//! A change from the platform to every daemon, by both modes.
+//! Distribution of a change from the platform to every daemon, in both modes.
 
 mod common;
 
@@ -6,7 +6,7 @@
 
 use common::{TestDaemon, TestFleet, all_hold, numbered, wait_for};
 use sk_model::Version;
-use sk_spread::{KindBytes, PassMode, PassStyle, VersionOrigin, plan_pass};
+use sk_spread::{ForwardKind, KindBytes, PassMode, VersionOrigin, plan_forward};
 
 fn spread_versions(mode: PassMode) {
     let mut fleet = TestFleet::new();
@@ -17,7 +17,7 @@
         wait_for("the version everywhere", || all_hold(&daemons, version));
     }
     for daemon in &daemons {
-        assert_eq!(*daemon.held.current(), numbered(5));
+        assert_eq!(*daemon.config.current(), numbered(5));
     }
     wait_for("all acknowledgements", || {
         daemons
@@ -36,9 +36,10 @@
     spread_versions(PassMode::Announce);
 }
 
-// The second relay of a data centre sees each version in the platform itself, and stands inside
-// the first one's tree. If it takes the push for done, whoever lies behind it waits for a later
-// announcement: in a fleet of 200 six daemons were always 300 ms to 600 ms behind the others.
+// Guards against a gap in the tree at the second relay of a data centre, which sees each version
+// in the platform itself and is an inner node of the first relay's tree. If it ignores the push,
+// the daemons behind it wait for a later announcement: in a fleet of 200, six daemons were always
+// 300 ms to 600 ms behind the others.
 #[test]
 fn relay_inside_tree() {
     let mut fleet = TestFleet::new();
@@ -57,7 +58,7 @@
         fleet.platform.accept(numbered(version));
         wait_for("the version everywhere", || all_hold(&daemons, version));
     }
-    // Each of the other seven is pushed each version along the chain.
+    // Each of the other seven receives one push per version along the chain.
     wait_for("every push", || pushes() - before >= 3 * 7);
 }
 
@@ -65,7 +66,7 @@
 fn only_relays_watch() {
     let fleet = TestFleet::new();
     let daemons = fleet.start_all(&["lj1", "lj2"], 8);
-    // Relays that were chosen while the fleet was met have given their watches up by then.
+    // Relays that were chosen while the daemons joined have ended their watches by then.
     wait_for("views to agree", || {
         daemons.iter().filter(|d| d.handle.reader().state().is_relay).count() == 4
     });
@@ -79,18 +80,18 @@
 }
 
 #[test]
-fn pass_plans() {
+fn forward_plans() {
     let own = "lj1-a".to_owned();
-    let plan = |origin: VersionOrigin, rank, mode| plan_pass(&origin, &own, rank, mode);
+    let plan = |origin: VersionOrigin, rank, mode| plan_forward(&origin, &own, rank, mode);
     let first = plan(VersionOrigin::Source, Some(0), PassMode::Push);
-    assert_eq!((first.style, first.delay.is_zero()), (PassStyle::Push, true));
+    assert_eq!((first.kind, first.delay.is_zero()), (ForwardKind::Push, true));
     let second = plan(VersionOrigin::Source, Some(1), PassMode::Push);
-    assert_eq!((second.style, second.delay.is_zero()), (PassStyle::Announce, false));
+    assert_eq!((second.kind, second.delay.is_zero()), (ForwardKind::Announce, false));
     let root = "lj1-b".to_owned();
     let pushed = plan(VersionOrigin::Pushed { root: root.clone() }, None, PassMode::Push);
-    assert_eq!((pushed.style, pushed.root), (PassStyle::Push, root));
+    assert_eq!((pushed.kind, pushed.root), (ForwardKind::Push, root));
     let found = plan(VersionOrigin::Found, None, PassMode::Push);
-    assert_eq!((found.style, found.root), (PassStyle::Announce, own.clone()));
+    assert_eq!((found.kind, found.root), (ForwardKind::Announce, own.clone()));
     let announced = plan(VersionOrigin::Source, Some(0), PassMode::Announce);
-    assert_eq!((announced.style, announced.delay.is_zero()), (PassStyle::Announce, false));
+    assert_eq!((announced.kind, announced.delay.is_zero()), (ForwardKind::Announce, false));
 }
--- a/components/spread/tests/update_whole.rs
+++ b/components/spread/tests/update_integrity.rs
@@ -1,4 +1,4 @@
-//! Updates against the whole configuration, and deliveries in any order.
+//! Updates compared with whole configurations, and deliveries in any order.
 
 mod common;
 
@@ -28,7 +28,7 @@
     prop::collection::vec((0..TEAMS.len(), 0..NAMES.len(), 0..4_u8), 0..8)
 }
 
-/// Versions of one history, the first one empty.
+/// Versions of one history; the first one is empty.
 fn history() -> impl Strategy<Value = Vec<Arc<ConfigSnapshot>>> {
     prop::collection::vec(values(), 2..8).prop_map(|versions| {
         let whole = |(index, values): (usize, &Values)| snapshot_of(index as Version + 1, values);
@@ -39,7 +39,7 @@
 
 proptest! {
     #[test]
-    fn delta_gives_whole(history in history(), from in any::<prop::sample::Index>()) {
+    fn delta_equals_whole(history in history(), from in any::<prop::sample::Index>()) {
         let newest = history.last().expect("a version");
         let base = from.get(&history);
         prop_assert_eq!(&apply_update(base, make_update(base, newest)).expect("applies"), &**newest);
@@ -50,7 +50,7 @@
     }
 
     #[test]
-    fn other_base_is_refused(history in history(), from in any::<prop::sample::Index>()) {
+    fn other_base_is_rejected(history in history(), from in any::<prop::sample::Index>()) {
         let newest = history.last().expect("a version");
         let base = from.get(&history);
         for held in &history {
@@ -61,7 +61,7 @@
     }
 }
 
-/// Puts in force whatever arrives, on whatever is held.
+/// Applies any update to any held version without checks.
 fn apply_naively(held: &ConfigSnapshot, update: &ConfigUpdate) -> ConfigSnapshot {
     let mut snapshot = held.clone();
     snapshot.root.version = update.version;
@@ -70,7 +70,7 @@
         let content = match &tree.content {
             TreeContent::Whole(tree) => Arc::new(tree.clone()),
             TreeContent::Writes(writes) => Arc::new(base.with_writes(writes)),
-            TreeContent::Held => base,
+            TreeContent::Unchanged => base,
         };
         snapshot.root.trees.insert(team.clone(), tree.tree_ref.clone());
         snapshot.trees.insert(team.clone(), content);
@@ -78,15 +78,15 @@
     snapshot
 }
 
-/// Tells whether what is held moved back, or is no version that was ever accepted.
+/// Returns whether the held version went back, or is none that was ever accepted.
 fn is_broken(history: &[Arc<ConfigSnapshot>], before: Version, held: &ConfigSnapshot) -> bool {
     let accepted = &history[held.version() as usize];
     held.version() < before || held.trees != accepted.trees
 }
 
-/// Updates overtake each other on their way, arrive twice or not at all. A proxy that put in force
-/// what arrives would go back to old routes, or hold a mixture of two versions; a caller would
-/// see a route that nobody accepted.
+/// Guards against updates that overtake each other, arrive twice or not at all. A proxy that put
+/// in force whatever arrives would return to old routes or hold a mixture of two versions; a
+/// caller would see a route that nobody accepted.
 #[test]
 fn any_delivery_order() {
     let naive_faults = std::cell::Cell::new(0);
@@ -119,8 +119,8 @@
     assert!(naive_faults.get() > 0, "the naive version must fail on the same deliveries");
 }
 
-/// A process that has just started is given an old version by one peer and the newest by another.
-/// Serving the first would take its callers back to routes that its predecessor had left.
+/// Guards against a restarted process that serves an old version from one peer before it gets the
+/// newest from another: its callers would go back to routes that its predecessor had left.
 #[test]
 fn nothing_before_ready() {
     let held = HeldConfig::new();
@@ -139,6 +139,6 @@
     held.set_ready(0);
     held.offer(common::numbered(2), "peer", 1);
     let other = make_snapshot(2, &[("board", "a", "other")]);
-    assert_eq!(held.offer(other, "stranger", 2), OfferOutcome::Diverged);
+    assert_eq!(held.offer(other, "peer", 2), OfferOutcome::Diverged);
     assert_eq!(*held.current(), common::numbered(2));
 }
--- a/components/spread/tests/version_series.rs
+++ b/components/spread/tests/version_series.rs
@@ -1,36 +1,36 @@
-//! Versions that follow each other closely over thin links.
+//! Versions that follow each other closely over slow links.
 
 mod common;
 
 use std::time::{Duration, Instant};
 
-use common::{TestDaemon, TestFleet, ThinLink, all_hold, wait_for, with_routes};
+use common::{SlowLink, TestDaemon, TestFleet, all_hold, wait_for, with_routes};
 
 const DAEMONS: usize = 16;
 const BYTES_PER_S: usize = 150_000;
 /// Time between versions.
 const PAUSE: Duration = Duration::from_millis(1_600);
-/// Time in which an accepted version has to be in force everywhere.
+/// Time within which an accepted version must be in force everywhere.
 const IN_FORCE: Duration = Duration::from_millis(2_500);
 
-/// Guards against callers getting 404 for a route whose version was accepted more than 2.5 s before: a
-/// change of 920 routes fills the links, and the versions that follow stand behind it.
+/// Guards against callers that get 404 for a route whose version was accepted more than 2.5 s
+/// before: a change of 920 routes fills the links, and the versions that follow queue behind it.
 #[test]
 fn grown_in_series() {
     let fleet = TestFleet::new();
-    let started = (0..DAEMONS).fold(Vec::<(TestDaemon, ThinLink)>::new(), |mut started, index| {
+    let started = (0..DAEMONS).fold(Vec::<(TestDaemon, SlowLink)>::new(), |mut started, index| {
         let seeds: Vec<_> = started.iter().take(2).map(|(daemon, _)| daemon.address).collect();
         let (name, source) = (format!("lj1-{index:02}"), fleet.platform.clone());
-        started.push(fleet.start_behind(BYTES_PER_S, &name, "lj1", &seeds, source));
+        started.push(fleet.start_behind_link(BYTES_PER_S, &name, "lj1", &seeds, source));
         started
     });
     let daemons: Vec<TestDaemon> = started.into_iter().map(|(daemon, _)| daemon).collect();
     wait_for("all daemons to meet and be ready", || {
-        daemons.iter().all(|daemon| daemon.present() == DAEMONS && daemon.held.is_ready())
+        daemons.iter().all(|daemon| daemon.present_count() == DAEMONS && daemon.config.is_ready())
     });
     fleet.platform.accept(with_routes(1, 200));
     wait_for("the first version", || all_hold(&daemons, 1));
-    // Views of who watches the source settle a little after the last daemon came.
+    // The choice of the daemons that watch the source settles shortly after the last daemon joins.
     std::thread::sleep(Duration::from_secs(1));
     let mut took = Vec::new();
     std::thread::scope(|scope| {
