--- a/components/spread/src/acks.rs
+++ b/components/spread/src/acks.rs
@@ -24,9 +24,9 @@
 /// The same after the relays changed, when every daemon reports its version to the new one. Nobody
 /// waits for these reports, and a relay that has just taken over has other work.
 const MAX_REACK_DELAY: Duration = Duration::from_secs(1);
-/// First and longest pause after a relay did not accept an acknowledgement.
+/// Bound of the first pause after a relay did not accept an acknowledgement.
 const FIRST_PAUSE: Duration = Duration::from_millis(500);
-/// Longest pause between retries of an acknowledgement.
+/// Longest pause after a relay did not accept an acknowledgement.
 const LONGEST_PAUSE: Duration = Duration::from_secs(5);
 /// Time in which a relay batches acknowledgements before it passes them on.
 const ACK_BATCH_PAUSE: Duration = Duration::from_millis(100);
--- a/components/spread/src/auth.rs
+++ b/components/spread/src/auth.rs
@@ -37,7 +37,7 @@
 }
 
 /// Verifies the proof of one side in constant time.
-pub(crate) fn is_proof(
+pub(crate) fn verify_proof(
     secret: &[u8],
     side: ProofSide,
     caller: &[u8],
--- a/components/spread/src/connect.rs
+++ b/components/spread/src/connect.rs
@@ -10,7 +10,7 @@
 use tokio_util::compat::{TokioAsyncReadCompatExt, TokioAsyncWriteCompatExt};
 
 use crate::{
-    auth::{ProofSide, is_proof, make_nonce, make_proof},
+    auth::{ProofSide, make_nonce, make_proof, verify_proof},
     codec,
     counted::{ByteAllowance, CountedStream},
     gate::GateServer,
@@ -108,7 +108,7 @@
     let response = request.send().promise.await?;
     let response = response.get()?;
     // Without this check, a process that took over a peer's address could send us configuration.
-    if !is_proof(secret, ProofSide::Callee, &caller, callee, response.get_proof()?) {
+    if !verify_proof(secret, ProofSide::Callee, &caller, callee, response.get_proof()?) {
         return Err(Error::failed("peer does not know the secret".to_owned()));
     }
     let proxy = codec::read_text(response.get_proxy()?)?;
--- a/components/spread/src/fetch.rs
+++ b/components/spread/src/fetch.rs
@@ -1,6 +1,6 @@
-//! Fetches a version that a peer holds, with retries at other peers. Fetches run one at a time and
-//! after a grace period, so that a version is not transferred twice when the tree delivers it as
-//! well.
+//! Fetches a version that a peer holds, with retries at other peers. Fetches run one at a time, and
+//! one prompted by a heartbeat waits for a grace period, so that a version is not transferred twice
+//! when the tree delivers it as well.
 
 use std::{rc::Rc, time::Duration};
 
@@ -24,9 +24,9 @@
 
 /// Tries of one fetch before the version is left to the next reconciliation.
 const MAX_TRIES: usize = 6;
-/// First and longest pause after a failed try. The cap keeps all tries within a few seconds.
+/// Bound of the first pause after a failed try.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// Longest pause after a failed try.
+/// Longest pause after a failed try. It keeps all tries within a few seconds.
 const LONGEST_PAUSE: Duration = Duration::from_secs(1);
 /// Mean time for which a version seen in a heartbeat is left to the tree. Without it every push
 /// would also be fetched by whichever daemon sees a heartbeat first.
@@ -42,7 +42,7 @@
     /// The peer read the configuration source after it was asked.
     pub(crate) is_fresh: bool,
     /// The peer could not read the configuration source.
-    pub(crate) is_away: bool,
+    pub(crate) is_source_unreachable: bool,
     /// The peer itself is ready.
     pub(crate) is_ready: bool,
     /// The result for the version.
@@ -151,7 +151,7 @@
             let outcome = self.apply_answer(answer, base, from, origin)?;
             Ok(FetchReply {
                 is_fresh: answer.get_is_fresh(),
-                is_away: answer.get_is_away(),
+                is_source_unreachable: answer.get_is_away(),
                 is_ready: answer.get_is_ready(),
                 outcome,
             })
--- a/components/spread/src/forward.rs
+++ b/components/spread/src/forward.rs
@@ -42,7 +42,7 @@
 
 /// What is sent to the children in the tree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ForwardKind {
+pub enum ForwardMethod {
     /// The change itself.
     Push,
     /// The version's number and hash only.
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ForwardPlan {
     /// What is sent to the children.
-    pub kind: ForwardKind,
+    pub method: ForwardMethod,
     /// The daemon at which the tree begins.
     pub root: ProxyId,
     /// Delay before sending.
@@ -75,8 +75,8 @@
     rank: Option<usize>,
     mode: PassMode,
 ) -> ForwardPlan {
-    let without_delay = |kind: ForwardKind, root: &ProxyId| ForwardPlan {
-        kind,
+    let without_delay = |method: ForwardMethod, root: &ProxyId| ForwardPlan {
+        method,
         root: root.clone(),
         delay: Duration::ZERO,
     };
@@ -84,15 +84,15 @@
     match origin {
         VersionOrigin::Source if mode == PassMode::Announce => ForwardPlan {
             delay: ANNOUNCE_BATCH_DELAY + backup_delay,
-            ..without_delay(ForwardKind::Announce, own)
+            ..without_delay(ForwardMethod::Announce, own)
         },
-        VersionOrigin::Source if rank == Some(0) => without_delay(ForwardKind::Push, own),
+        VersionOrigin::Source if rank == Some(0) => without_delay(ForwardMethod::Push, own),
         VersionOrigin::Source => {
-            ForwardPlan { delay: backup_delay, ..without_delay(ForwardKind::Announce, own) }
+            ForwardPlan { delay: backup_delay, ..without_delay(ForwardMethod::Announce, own) }
         }
-        VersionOrigin::Pushed { root } => without_delay(ForwardKind::Push, root),
-        VersionOrigin::Announced { root } => without_delay(ForwardKind::Announce, root),
-        VersionOrigin::Found => without_delay(ForwardKind::Announce, own),
+        VersionOrigin::Pushed { root } => without_delay(ForwardMethod::Push, root),
+        VersionOrigin::Announced { root } => without_delay(ForwardMethod::Announce, root),
+        VersionOrigin::Found => without_delay(ForwardMethod::Announce, own),
     }
 }
 
@@ -147,9 +147,9 @@
     if children.is_empty() {
         return;
     }
-    let payload = match plan.kind {
-        ForwardKind::Push => make_payload(&task.base, &newest),
-        ForwardKind::Announce => ForwardPayload::Announcement,
+    let payload = match plan.method {
+        ForwardMethod::Push => make_payload(&task.base, &newest),
+        ForwardMethod::Announce => ForwardPayload::Announcement,
     };
     let (version, hash_prefix) = (newest.version(), root_hash_prefix(&newest.root.hash()));
     let run = ForwardRun { node, tree, root: plan.root, version, hash_prefix, payload };
--- a/components/spread/src/gate.rs
+++ b/components/spread/src/gate.rs
@@ -12,7 +12,7 @@
 use tokio::sync::oneshot;
 
 use crate::{
-    auth::{Nonce, ProofSide, is_proof, make_nonce, make_proof},
+    auth::{Nonce, ProofSide, make_nonce, make_proof, verify_proof},
     codec,
     counted::ByteAllowance,
     node::SpreadNode,
@@ -76,10 +76,7 @@
         params: gate::EnterParams,
         mut results: gate::EnterResults,
     ) -> Result<(), Error> {
-        let node = self
-            .node
-            .upgrade()
-            .ok_or_else(|| Error::disconnected("daemon is stopping".to_owned()))?;
+        let node = self.node.upgrade().ok_or_else(|| Error::disconnected("stopped".to_owned()))?;
         let params = params.get()?;
         let secret = node.options.secret.as_bytes();
         let callee = self
@@ -88,14 +85,12 @@
             .ok_or_else(|| Error::failed("no challenge was requested".to_owned()))?;
         let caller = params.get_nonce()?;
         let proxy = codec::read_text(params.get_proxy()?)?;
-        if !is_proof(secret, ProofSide::Caller, caller, &callee, params.get_proof()?) {
+        if !verify_proof(secret, ProofSide::Caller, caller, &callee, params.get_proof()?) {
             log::warn!("spread: refused a peer that does not know the secret.");
             return Err(Error::failed("proof does not match".to_owned()));
         }
-        let gate_connection = self
-            .connection
-            .take()
-            .ok_or_else(|| Error::failed("already authenticated".to_owned()))?;
+        let gate_connection =
+            self.connection.take().ok_or_else(|| Error::failed("entered".to_owned()))?;
         gate_connection.allowance.lift();
         // The receiver is gone only if the time for authentication has just run out.
         let _ = gate_connection.authenticated.send(());
--- a/components/spread/src/held_config.rs
+++ b/components/spread/src/held_config.rs
@@ -154,7 +154,7 @@
         if version <= state.newest.version() {
             return OfferOutcome::NotNewer;
         }
-        if let Some(reason) = find_invalid(&snapshot) {
+        if let Some(reason) = find_error(&snapshot) {
             return OfferOutcome::Rejected(self.reject(&mut state, &snapshot, reason));
         }
         let snapshot = Arc::new(snapshot);
@@ -214,7 +214,7 @@
 }
 
 /// Returns the first reason why a snapshot is invalid.
-fn find_invalid(snapshot: &ConfigSnapshot) -> Option<String> {
+fn find_error(snapshot: &ConfigSnapshot) -> Option<String> {
     if !snapshot.is_intact() {
         return Some("a subtree is missing or does not match its hash".to_owned());
     }
--- a/components/spread/src/join.rs
+++ b/components/spread/src/join.rs
@@ -1,7 +1,7 @@
 //! Joining the fleet through the seeds in the settings and the contacts stored in the platform.
-//! Daemons that never meet would each hold their own view of members and servers, so joining is
-//! retried until another daemon is known, and addresses outside the fleet's view are tried from
-//! time to time.
+//! Daemons that never find each other would each hold their own view of members and servers, so
+//! joining is retried until another daemon is known, and addresses outside the fleet's view are
+//! tried from time to time.
 
 use std::{collections::BTreeSet, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -19,7 +19,7 @@
 /// Maximum number of addresses tried at once. Lists may name a whole fleet; a few that answer are
 /// enough.
 const MAX_ADDRESSES: usize = 8;
-/// First and longest pause between tries while no other daemon is known.
+/// Bound of the first pause between tries while no other daemon is known.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
 /// Longest pause between tries while no other daemon is known.
 const LONGEST_PAUSE: Duration = Duration::from_secs(2);
@@ -151,7 +151,7 @@
             return;
         }
         if let Err(err) = refresh_contacts(node, &*book).await {
-            log::debug!("spread: cannot read contacts: {err}.");
+            log::debug!("spread: cannot refresh contacts: {err}.");
         }
         let is_isolated = node.other_members().is_empty();
         let pause = if is_isolated { ISOLATED_CONTACT_PAUSE } else { CONTACT_PAUSE };
--- a/components/spread/src/lib.rs
+++ b/components/spread/src/lib.rs
@@ -44,7 +44,7 @@
 
 pub use counted::{ControlBytes, ControlMeter};
 pub use driver::{SpreadHandle, SpreadParts, StateReader, start_spread};
-pub use forward::{ForwardKind, ForwardPlan, plan_forward};
+pub use forward::{ForwardMethod, ForwardPlan, plan_forward};
 pub use held_config::{HeldConfig, HeldStatus, OfferOutcome};
 pub use options::{PassMode, SpreadOptions};
 pub use sk_member::HistoryMark;
--- a/components/spread/src/links.rs
+++ b/components/spread/src/links.rs
@@ -86,8 +86,8 @@
         beat.get_members() == self.member_hash()
     }
 
-    /// Adopts a peer's freshness proof. It says that the peer's version was the newest one, so it
-    /// also holds here if that version or a later one is held. The heartbeat's `looker` is the
+    /// Adopts a peer's freshness proof. It proves that the peer's version was the newest one, so
+    /// it also holds here if that version or a later one is held. The heartbeat's `looker` is the
     /// hashed name of the daemon that read the source, and `history` the position in the source's
     /// history known to it.
     fn adopt_proof(&self, beat: beat::Reader<'_>, written_after: Instant) {
--- a/components/spread/src/node.rs
+++ b/components/spread/src/node.rs
@@ -1,4 +1,6 @@
-//! State shared by the tasks of the control thread.
+//! State shared by the tasks of the control thread, and the steps that several of them take:
+//! offering a version, forwarding it, and recording when the held version was known to be the
+//! newest. A single thread uses it, so that no task waits for a lock of another one.
 
 use std::{
     cell::{Cell, RefCell},
--- a/components/spread/src/pool.rs
+++ b/components/spread/src/pool.rs
@@ -58,15 +58,15 @@
             }
         }
         sessions.retain(|session| !session.is_closed());
-        let mut sweep = PoolSweep { open: sessions.len(), lost_peers: Vec::new() };
+        let mut result = PoolSweep { open: sessions.len(), lost_peers: Vec::new() };
         drop(sessions);
         self.by_proxy.borrow_mut().retain(|proxy, session| {
             if session.is_lost() {
-                sweep.lost_peers.push(proxy.clone());
+                result.lost_peers.push(proxy.clone());
             }
             !session.is_closed()
         });
-        sweep
+        result
     }
 }
 
--- a/components/spread/src/server.rs
+++ b/components/spread/src/server.rs
@@ -287,7 +287,7 @@
 }
 
 impl TicketServer {
-    /// Frees the slot after [`FETCH_SLOT_TIMEOUT`] at the latest.
+    /// Starts a timer that frees the slot after [`FETCH_SLOT_TIMEOUT`], if the ticket still exists.
     fn new(slot: OwnedSemaphorePermit) -> Self {
         let slot = Rc::new(RefCell::new(Some(slot)));
         let weak_slot = Rc::downgrade(&slot);
--- a/components/spread/src/session.rs
+++ b/components/spread/src/session.rs
@@ -10,8 +10,11 @@
 
 /// An open connection to an authenticated peer.
 pub(crate) struct PeerSession {
+    /// Name of the peer.
     pub(crate) proxy: ProxyId,
+    /// Client for calls to the peer.
     pub(crate) client: peer::Client,
+    /// When the last call used the connection.
     used_at: Cell<Instant>,
     connection: SharedConnectionState,
 }
--- a/components/spread/src/start.rs
+++ b/components/spread/src/start.rs
@@ -22,7 +22,7 @@
 /// relay and reads the platform. When a whole fleet restarts, each daemon is a relay in its own
 /// first view.
 const RELAY_STABLE_TIME: Duration = Duration::from_millis(600);
-/// First and longest pause between rounds of asking.
+/// Bound of the first pause between rounds of asking.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
 /// Longest pause between rounds of asking while the platform answers.
 const LONGEST_PAUSE: Duration = Duration::from_secs(1);
@@ -61,7 +61,7 @@
     // When a whole fleet restarts, these random times spread the daemons over the window: the
     // first ones read the platform and the later ones get the version from them. A daemon whose
     // peers are all unreachable starts later by that time. At least half of the window passes
-    // first, because a daemon that reads earlier only does so before it has met the others.
+    // first, because a daemon that reads earlier only does so before it knows the others.
     let window = node.options.start_window;
     let window_end = Instant::now() + window / 2 + random_up_to(window);
     let fallback_pause = FALLBACK_READ_PAUSE.min(window * FALLBACK_READ_WINDOWS);
@@ -130,7 +130,7 @@
     }
 }
 
-/// Returns whether this daemon has been a relay for long enough to trust its view.
+/// Returns whether this daemon is a relay and the relays have stayed the same for long enough.
 fn is_stable_relay(node: &SpreadNode) -> bool {
     let relays = node.relays.borrow();
     let stable_time = RELAY_STABLE_TIME.min(node.options.start_window / 2);
@@ -151,7 +151,7 @@
         };
         answer = answer.max(match reply.outcome {
             FetchOutcome::UpToDate if reply.is_fresh => return RelayAnswer::Confirmed,
-            _ if reply.is_away => RelayAnswer::SourceUnreachable,
+            _ if reply.is_source_unreachable => RelayAnswer::SourceUnreachable,
             FetchOutcome::Busy(busy_pause) => {
                 tokio::time::sleep(busy_pause).await;
                 RelayAnswer::NotReady
--- a/components/spread/src/state.rs
+++ b/components/spread/src/state.rs
@@ -105,8 +105,8 @@
     pub kinds: Vec<KindBytes>,
 }
 
-#[derive(Default)]
 /// Counters of one kind of call.
+#[derive(Default)]
 struct KindCounter {
     calls: AtomicU64,
     sent: AtomicU64,
--- a/components/spread/src/update.rs
+++ b/components/spread/src/update.rs
@@ -108,7 +108,8 @@
     snapshot.root.trees.iter().map(hash).collect()
 }
 
-/// Returns the smaller of the whole subtree and the writes that lead to it from `base`.
+/// Returns the writes that lead from `base` to `tree`, or the whole subtree if it has no more
+/// settings than there are writes.
 fn make_tree_content(base: Option<&Arc<TeamTree>>, tree: &TeamTree) -> TreeContent {
     let Some(base) = base else {
         return TreeContent::Whole(tree.clone());
--- a/components/spread/src/watch.rs
+++ b/components/spread/src/watch.rs
@@ -18,12 +18,12 @@
     tasks::{ConfirmOutcome, VersionOrigin},
 };
 
-/// First and longest pause after the source failed. With 18 relays the cap means 36 calls a second
-/// at an unreachable source, 1/50 of its rate limit, and a delay of at most one second once it is
-/// back: a version must be in force 2 seconds after its
-/// acknowledgement.
+/// Bound of the first pause after the source failed.
 const FIRST_PAUSE: Duration = Duration::from_millis(250);
-/// Longest pause after the source failed, for a relay with no daemons before it.
+/// Longest pause after the source failed, for the daemon that is first in order, and longest wait
+/// before a daemon checks its turn again. With 18 relays it means 36 calls a second at an
+/// unreachable source, 1/50 of its rate limit, and a delay of at most one second once it is back: a
+/// version must be in force 2 seconds after its acknowledgement.
 const LONGEST_PAUSE: Duration = Duration::from_secs(1);
 /// Time in which a read of the source waits for more requests to share it. The start of a single
 /// daemon is delayed by it.
@@ -34,6 +34,7 @@
 /// Time after a read in which further requests count as those of a restarting fleet.
 const HERD_WINDOW: Duration = Duration::from_secs(1);
 
+/// Request for a read of the source, answered with the outcome.
 type ConfirmRequest = oneshot::Sender<ConfirmOutcome>;
 
 /// Watches the source whenever it is this daemon's turn.
@@ -85,7 +86,7 @@
         let is_rejected = self.last_seen.version() > newest.version();
         let after = if is_rejected { self.last_seen.clone() } else { newest };
         match node.source.wait_newer(&after, node.options.max_watch_wait()).await {
-            Ok(news) => self.take_news(node, news),
+            Ok(result) => self.handle_result(node, result),
             Err(err) => {
                 node.source_outage.lost(&err);
                 node.stats.set_source_fault(Some(err.reason));
@@ -95,15 +96,15 @@
     }
 
     /// Handles a successful wait: offers a newer version and records the freshness proof.
-    fn take_news(&mut self, node: &SpreadNode, news: SourceNews) {
+    fn handle_result(&mut self, node: &SpreadNode, result: SourceNews) {
         node.source_outage.back();
         node.stats.set_source_fault(None);
         self.pause.reset();
-        if let Some(snapshot) = news.newer {
+        if let Some(snapshot) = result.newer {
             self.last_seen = Arc::new(snapshot.clone());
             node.offer(snapshot, PLATFORM, VersionOrigin::Source);
         }
-        node.note_source_read(news.seen_at);
+        node.note_source_read(result.seen_at);
         // The next daemons in the order would also start to watch if they learnt of the success
         // only with the next regular heartbeat.
         if !std::mem::replace(&mut self.has_reported, true) {
@@ -159,15 +160,15 @@
 ) {
     let mut last_read: Option<Instant> = None;
     while let Some(first) = requests.recv().await {
-        let mut waiting = vec![first];
+        let mut batch = vec![first];
         let is_herd = last_read.is_some_and(|last_read| last_read.elapsed() < HERD_WINDOW);
         tokio::time::sleep(if is_herd { HERD_BATCH_PAUSE } else { READ_BATCH_PAUSE }).await;
         while let Ok(next) = requests.try_recv() {
-            waiting.push(next);
+            batch.push(next);
         }
         let outcome = read_source(node).await;
         last_read = Some(Instant::now());
-        for request in waiting {
+        for request in batch {
             let _ = request.send(outcome);
         }
     }
@@ -176,7 +177,7 @@
 /// Reads the source once and offers what it holds.
 async fn read_source(node: &SpreadNode) -> ConfirmOutcome {
     node.stats.count_source_read();
-    let began = Instant::now();
+    let started_at = Instant::now();
     // A version that a starting daemon reads is usually new to that daemon alone.
     let origin = match node.config.is_ready() {
         true => VersionOrigin::Source,
@@ -192,7 +193,7 @@
     };
     node.source_outage.back();
     node.stats.set_source_fault(None);
-    node.note_source_read(began);
+    node.note_source_read(started_at);
     match outcome {
         OfferOutcome::Rejected(_) => ConfirmOutcome::Rejected,
         _ => {
--- a/components/spread/tests/common/access.rs
+++ b/components/spread/tests/common/access.rs
@@ -53,7 +53,7 @@
             accesses.insert(name, access);
         }
         let total = daemons.len();
-        wait_for("all daemons to meet and be ready", || {
+        wait_for("all daemons to join and be ready", || {
             daemons.iter().all(|daemon| daemon.present_count() == total && daemon.config.is_ready())
         });
         let fleet = Self { fleet, daemons, accesses };
--- a/components/spread/tests/common/mod.rs
+++ b/components/spread/tests/common/mod.rs
@@ -287,8 +287,8 @@
 impl AckSink for FakeSink {
     fn note(&self, acks: Vec<ProxyAck>) {
         self.noted.fetch_add(acks.len(), Ordering::SeqCst);
-        let mut noted = self.acks.lock().expect("lock");
-        noted.extend(acks.into_iter().map(|ack| (ack.proxy.clone(), ack)));
+        let mut stored = self.acks.lock().expect("lock");
+        stored.extend(acks.into_iter().map(|ack| (ack.proxy.clone(), ack)));
     }
 }
 
@@ -428,7 +428,7 @@
             }
         }
         let total = daemons.len();
-        wait_for("all daemons to meet and be ready", || {
+        wait_for("all daemons to join and be ready", || {
             daemons.iter().all(|daemon| daemon.present_count() == total && daemon.config.is_ready())
         });
         daemons
@@ -464,7 +464,7 @@
 pub fn wait_for(what: &str, mut is_met: impl FnMut() -> bool) -> Duration {
     let started_at = Instant::now();
     while !is_met() {
-        assert!(started_at.elapsed() < MAX_WAIT, "waited in vain for {what}");
+        assert!(started_at.elapsed() < MAX_WAIT, "timed out waiting for {what}");
         std::thread::sleep(POLL_PAUSE);
     }
     started_at.elapsed()
--- a/components/spread/tests/few_pushes.rs
+++ b/components/spread/tests/few_pushes.rs
@@ -9,7 +9,7 @@
     wait_for,
 };
 use sk_member::PushTree;
-use sk_spread::{ForwardKind, PassMode, SpreadOptions, VersionOrigin, plan_forward};
+use sk_spread::{ForwardMethod, PassMode, SpreadOptions, VersionOrigin, plan_forward};
 
 /// Guards against every daemon that reads the source pushing what it read, as if it were the first
 /// relay: the copies fill slow links and delay the versions that follow.
@@ -17,7 +17,7 @@
 fn other_watchers_announce() {
     let own = "lj1-a".to_owned();
     let plan = plan_forward(&VersionOrigin::Source, &own, None, PassMode::Push);
-    assert_eq!((plan.kind, plan.delay), (ForwardKind::Announce, Duration::ZERO));
+    assert_eq!((plan.method, plan.delay), (ForwardMethod::Announce, Duration::ZERO));
 }
 
 /// Guards against the same in a fleet: the source refuses the relays, and the daemons that read it
@@ -62,7 +62,7 @@
         started
     });
     let (daemons, links): (Vec<_>, Vec<_>) = started.into_iter().unzip();
-    wait_for("all daemons to meet", || {
+    wait_for("all daemons to join", || {
         daemons.iter().all(|daemon| daemon.present_count() == 16 && daemon.config.is_ready())
     });
     fleet.platform.accept(numbered(1));
--- a/components/spread/tests/herd_start.rs
+++ b/components/spread/tests/herd_start.rs
@@ -43,12 +43,12 @@
     let fleet = TestFleet::new();
     fleet.platform.accept(numbered(1));
     let before = start_herd(&fleet, &[]);
-    let have_met =
+    let have_joined =
         |daemons: &[TestDaemon]| daemons.iter().all(|daemon| daemon.present_count() == FLEET);
-    wait_for("all to meet by contacts", || have_met(&before));
+    wait_for("all to join through contacts", || have_joined(&before));
     let stale: Vec<_> = before.iter().take(3).map(|daemon| daemon.address).collect();
     drop(before);
     let after = start_herd(&fleet, &stale);
-    wait_for("all to meet again", || have_met(&after));
+    wait_for("all to join again", || have_joined(&after));
     wait_for("the version", || all_hold(&after, 1));
 }
--- a/components/spread/tests/overlapping_updates.rs
+++ b/components/spread/tests/overlapping_updates.rs
@@ -77,7 +77,7 @@
         fleet.start_with(&format!("lj2-{index}"), "lj2", options.clone(), Arc::clone(&unreachable))
     };
     let isolated: Vec<_> = (0..6).map(start).collect();
-    wait_for("all to meet", || {
+    wait_for("all to join", || {
         isolated.iter().all(|daemon| daemon.present_count() == 10 && daemon.config.is_ready())
     });
     for version in 1..=3 {
--- a/components/spread/tests/record_rumors.rs
+++ b/components/spread/tests/record_rumors.rs
@@ -33,7 +33,7 @@
     for daemon in daemons.iter().step_by(4) {
         for status in [EndpointStatus::Ready, EndpointStatus::Draining] {
             set_server(daemon, &format!("{}-server", daemon.name), status);
-            let took = wait_for("the news", || all_see(&daemons, &daemon.name, status));
+            let took = wait_for("the record", || all_see(&daemons, &daemon.name, status));
             println!("{status} known everywhere after {took:?}");
             assert!(took < MAX_RECORD_DELAY, "took {took:?}");
         }
--- a/components/spread/tests/slow_links.rs
+++ b/components/spread/tests/slow_links.rs
@@ -40,7 +40,7 @@
         started
     });
     let daemons: Vec<TestDaemon> = started.into_iter().map(|(daemon, _)| daemon).collect();
-    wait_for("all daemons to meet and be ready", || {
+    wait_for("all daemons to join and be ready", || {
         daemons.iter().all(|daemon| daemon.present_count() == count && daemon.config.is_ready())
     });
     fleet.platform.accept(numbered(1));
--- a/components/spread/tests/source_outage.rs
+++ b/components/spread/tests/source_outage.rs
@@ -42,8 +42,8 @@
     let first = fleet.start("lj1-00", "lj1", &[]);
     let second = fleet.start("lj1-01", "lj1", &[first.address]);
     let daemons = [first, second];
-    wait_for("them to meet", || daemons.iter().all(|daemon| daemon.present_count() == 2));
-    wait_for("the platform to be asked in vain", || {
+    wait_for("the daemons to join", || daemons.iter().all(|daemon| daemon.present_count() == 2));
+    wait_for("a failed read of the platform", || {
         daemons.iter().all(|daemon| daemon.handle.reader().state().source_fault.is_some())
     });
     assert!(daemons.iter().all(|daemon| !daemon.config.is_ready() && daemon.version() == 0));
@@ -62,12 +62,10 @@
     let seeds = [first.address];
     let others = (1..30).map(|index| fleet.start(&format!("lj1-{index:02}"), "lj1", &seeds));
     let daemons: Vec<_> = [first].into_iter().chain(others).collect();
-    wait_for("them to meet", || {
+    wait_for("the daemons to join", || {
         daemons.iter().all(|daemon| daemon.present_count() == daemons.len())
     });
-    wait_for("the platform to be asked in vain", || {
-        fleet.platform.reads.load(Ordering::SeqCst) >= 4
-    });
+    wait_for("a failed read of the platform", || fleet.platform.reads.load(Ordering::SeqCst) >= 4);
     assert!(daemons.iter().all(|daemon| !daemon.config.is_ready()));
     fleet.platform.set_down(false);
     fleet.platform.reads.store(0, Ordering::SeqCst);
--- a/components/spread/tests/tree_push.rs
+++ b/components/spread/tests/tree_push.rs
@@ -6,7 +6,7 @@
 
 use common::{TestDaemon, TestFleet, all_hold, numbered, wait_for};
 use sk_model::Version;
-use sk_spread::{ForwardKind, KindBytes, PassMode, VersionOrigin, plan_forward};
+use sk_spread::{ForwardMethod, KindBytes, PassMode, VersionOrigin, plan_forward};
 
 fn spread_versions(mode: PassMode) {
     let mut fleet = TestFleet::new();
@@ -84,14 +84,14 @@
     let own = "lj1-a".to_owned();
     let plan = |origin: VersionOrigin, rank, mode| plan_forward(&origin, &own, rank, mode);
     let first = plan(VersionOrigin::Source, Some(0), PassMode::Push);
-    assert_eq!((first.kind, first.delay.is_zero()), (ForwardKind::Push, true));
+    assert_eq!((first.method, first.delay.is_zero()), (ForwardMethod::Push, true));
     let second = plan(VersionOrigin::Source, Some(1), PassMode::Push);
-    assert_eq!((second.kind, second.delay.is_zero()), (ForwardKind::Announce, false));
+    assert_eq!((second.method, second.delay.is_zero()), (ForwardMethod::Announce, false));
     let root = "lj1-b".to_owned();
     let pushed = plan(VersionOrigin::Pushed { root: root.clone() }, None, PassMode::Push);
-    assert_eq!((pushed.kind, pushed.root), (ForwardKind::Push, root));
+    assert_eq!((pushed.method, pushed.root), (ForwardMethod::Push, root));
     let found = plan(VersionOrigin::Found, None, PassMode::Push);
-    assert_eq!((found.kind, found.root), (ForwardKind::Announce, own.clone()));
+    assert_eq!((found.method, found.root), (ForwardMethod::Announce, own.clone()));
     let announced = plan(VersionOrigin::Source, Some(0), PassMode::Announce);
-    assert_eq!((announced.kind, announced.delay.is_zero()), (ForwardKind::Announce, false));
+    assert_eq!((announced.method, announced.delay.is_zero()), (ForwardMethod::Announce, false));
 }
--- a/components/spread/tests/version_series.rs
+++ b/components/spread/tests/version_series.rs
@@ -25,7 +25,7 @@
         started
     });
     let daemons: Vec<TestDaemon> = started.into_iter().map(|(daemon, _)| daemon).collect();
-    wait_for("all daemons to meet and be ready", || {
+    wait_for("all daemons to join and be ready", || {
         daemons.iter().all(|daemon| daemon.present_count() == DAEMONS && daemon.config.is_ready())
     });
     fleet.platform.accept(with_routes(1, 200));
