--- a/components/spread/src/node.rs
+++ b/components/spread/src/node.rs
@@ -100,7 +100,7 @@
         let outcome = self.config.offer(snapshot, source, unix_now());
         match &outcome {
             OfferOutcome::Applied => {
-                log::info!("spread: received version {version} from {source}.");
+                log::info!("spread: version {version} from {source}.");
                 let task = ForwardTask { base, newest: self.config.newest(), origin };
                 // The receiver lives as long as the control thread.
                 let _ = self.forward_tasks.send(task);
