--- a/components/spread/src/counted.rs
+++ b/components/spread/src/counted.rs
@@ -1,4 +1,4 @@
-//! Counting of control bytes.
+//! Counts control bytes, and bounds what a connection may send before its peer has authenticated.
 
 use std::{
     io,
@@ -17,17 +17,19 @@
     net::TcpStream,
 };
 
-use crate::session::SessionLink;
+use crate::session::SharedConnectionState;
 
-/// Bytes that a caller may send before it has proved the secret. A challenge and a proof take a
-/// few hundred; without the bound a stranger could make a daemon buffer whole messages.
-const MAX_CALLER_BYTES: u64 = 8 * 1_024;
-/// The same for the side that was called. It proves itself with its last answer, and its first
-/// calls may follow in the same packet, before that answer has been looked at.
-const MAX_CALLEE_BYTES: u64 = 256 * 1_024;
+/// Bytes that the connecting side may send before it has authenticated. A challenge and a proof
+/// take a few hundred; without the limit a foreign process could make a daemon buffer whole
+/// messages.
+const MAX_UNAUTHENTICATED_CALLER_BYTES: u64 = 8 * 1_024;
+/// The same for the accepting side. It authenticates with its last answer, and its first calls may
+/// follow in the same packet, before that answer is checked.
+const MAX_UNAUTHENTICATED_CALLEE_BYTES: u64 = 256 * 1_024;
+/// Allowance of an authenticated connection.
 const UNBOUNDED: u64 = u64::MAX;
 
-/// Control bytes since the start of the process, TCP payload only.
+/// Control bytes since the start of the process; TCP payload only.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ControlBytes {
     /// Bytes sent.
@@ -44,7 +46,7 @@
 }
 
 impl ControlMeter {
-    /// Reads the counters.
+    /// Returns the current counts.
     pub fn bytes(&self) -> ControlBytes {
         ControlBytes {
             sent: self.sent.load(Ordering::Relaxed),
@@ -53,30 +55,32 @@
     }
 }
 
-/// Bytes that one connection may still receive.
+/// Number of bytes that one connection may still receive.
 #[derive(Debug)]
 pub(crate) struct ByteAllowance(AtomicU64);
 
 impl ByteAllowance {
-    /// Makes the allowance of a connection whose peer has proved nothing.
-    pub(crate) fn unproven(side: Side) -> Arc<Self> {
+    /// Creates the allowance of a connection whose peer has not authenticated; `side` is this
+    /// daemon's role.
+    pub(crate) fn unauthenticated(side: Side) -> Arc<Self> {
         Arc::new(Self(AtomicU64::new(match side {
-            Side::Server => MAX_CALLER_BYTES,
-            Side::Client => MAX_CALLEE_BYTES,
+            Side::Server => MAX_UNAUTHENTICATED_CALLER_BYTES,
+            Side::Client => MAX_UNAUTHENTICATED_CALLEE_BYTES,
         })))
     }
 
-    /// Lifts the bound, once the peer has proved the secret.
+    /// Removes the limit, once the peer has authenticated.
     pub(crate) fn lift(&self) {
         self.0.store(UNBOUNDED, Ordering::Relaxed);
     }
 
-    /// Gives how many bytes may still come.
+    /// Returns how many bytes may still arrive.
     fn left(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 
-    fn spend(&self, count: u64) {
+    /// Deducts received bytes, unless the limit is lifted.
+    fn deduct(&self, count: u64) {
         let left = self.left();
         if left != UNBOUNDED {
             self.0.store(left.saturating_sub(count), Ordering::Relaxed);
@@ -84,22 +88,23 @@
     }
 }
 
-/// A stream whose bytes are counted, and bounded until its peer is proven.
+/// A stream that counts its bytes, and bounds them until its peer has authenticated.
 pub(crate) struct CountedStream {
     stream: TcpStream,
     meter: Arc<ControlMeter>,
     allowance: Arc<ByteAllowance>,
-    link: SessionLink,
+    connection: SharedConnectionState,
 }
 
 impl CountedStream {
+    /// Wraps a stream; `connection` records when bytes arrive.
     pub(crate) fn new(
         stream: TcpStream,
         meter: Arc<ControlMeter>,
         allowance: Arc<ByteAllowance>,
-        link: SessionLink,
+        connection: SharedConnectionState,
     ) -> Self {
-        Self { stream, meter, allowance, link }
+        Self { stream, meter, allowance, connection }
     }
 }
 
@@ -114,14 +119,14 @@
         if left == 0 {
             return Poll::Ready(Err(io::ErrorKind::PermissionDenied.into()));
         }
-        let most = left.min(buf.remaining());
-        let mut part = ReadBuf::new(buf.initialize_unfilled_to(most));
+        let limit = left.min(buf.remaining());
+        let mut part = ReadBuf::new(buf.initialize_unfilled_to(limit));
         ready!(Pin::new(&mut stream.stream).poll_read(cx, &mut part))?;
         let count = part.filled().len();
         buf.advance(count);
         stream.meter.received.fetch_add(count as u64, Ordering::Relaxed);
-        stream.allowance.spend(count as u64);
-        stream.link.note_heard();
+        stream.allowance.deduct(count as u64);
+        stream.connection.note_received();
         Poll::Ready(Ok(()))
     }
 }
--- a/components/spread/src/driver.rs
+++ b/components/spread/src/driver.rs
@@ -1,4 +1,5 @@
-//! Starting and stopping the control thread.
+//! Starts and stops the control thread, and connects its tasks. The thread has its own runtime, so
+//! that neither requests nor control traffic delay each other.
 
 use std::{
     cell::{Cell, RefCell},
@@ -17,59 +18,59 @@
 };
 
 use crate::{
-    acks::{flush_acks, keep_acks},
+    acks::{deliver_acks, flush_acks},
     connect::serve_session,
     counted::ControlMeter,
-    fetch::fetch_wanted,
-    held::HeldConfig,
-    join::{JoinStage, join_fleet, keep_contacts},
+    fetch::run_fetches,
+    forward::forward_versions,
+    held_config::HeldConfig,
+    join::{JoinStage, join_fleet, maintain_contacts},
     link_board::LinkBoard,
-    links::keep_links,
-    neighbours::watch_neighbours,
-    news::pass_own_record,
+    links::maintain_links,
+    neighbours::monitor_neighbours,
     node::SpreadNode,
-    notices::pass_notices,
+    notices::send_notices,
     options::SpreadOptions,
-    orders::{ConfirmOutcome, FetchWant, PassOrder},
-    pass::pass_versions,
-    relays::keep_relays,
-    repair::repair_forever,
+    relays::maintain_relays,
+    repair::reconcile_repeatedly,
+    rumors::send_own_record,
     source::{AckSink, ConfigSource, ContactBook, NoticeBoard},
-    start::settle_start,
+    start::become_ready,
     state::{SpreadState, SpreadStats},
-    watch::{confirm_source, watch_source},
+    tasks::{ConfirmOutcome, FetchTask, ForwardTask},
+    watch::{serve_confirmations, watch_source},
 };
 
-/// Pause after the listener failed; out of file descriptors, usually, and without the pause the
-/// loop would spin.
+/// Pause after the listener failed. It usually fails because file descriptors ran out, and the
+/// loop would spin without the pause.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(200);
-/// Time for the control thread to end. It does so at its next wait; one that is kept busy by a call that
-/// never returns must not keep the process alive.
-const STOP_TIME: Duration = Duration::from_millis(200);
-/// Time between looks whether it has ended.
-const STOP_LOOK: Duration = Duration::from_millis(2);
-/// Fetches that wait to be made; a later one is left to the next comparison.
-const MAX_WANTS: usize = 32;
-
-/// What the spread needs of the rest of the daemon.
+/// Longest wait for the control thread to end. It ends at its next await point; a thread that is
+/// blocked by a call that never returns must not keep the process alive.
+const STOP_TIMEOUT: Duration = Duration::from_millis(200);
+/// Time between checks whether the thread has ended.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Maximum number of queued fetches; versions beyond it are left to the next reconciliation.
+const MAX_QUEUED_FETCHES: usize = 32;
+
+/// Parts of the daemon that the control thread uses.
 pub struct SpreadParts {
-    /// The configuration held.
+    /// The held configuration.
     pub held: Arc<HeldConfig>,
-    /// The members known.
+    /// The known members.
     pub members: Arc<MemberBoard>,
-    /// Where configurations come from.
+    /// The source of accepted configurations.
     pub source: Arc<dyn ConfigSource>,
-    /// Where contacts are kept; without it only seeds are tried.
+    /// Stores contacts; without it only seeds are tried.
     pub contacts: Option<Arc<dyn ContactBook>>,
-    /// Takes acknowledgements at a relay.
+    /// Receives acknowledgements at a relay.
     pub acks: Arc<dyn AckSink>,
-    /// News of the request path; without it none are passed on.
+    /// Notices about requests; without it none are distributed.
     pub notices: Option<Arc<dyn NoticeBoard>>,
     /// Counts control bytes.
     pub meter: Arc<ControlMeter>,
 }
 
-/// The running spread.
+/// Handle of the running control thread, which stops when the handle is dropped.
 pub struct SpreadHandle {
     stop: Option<oneshot::Sender<()>>,
     thread: Option<std::thread::JoinHandle<()>>,
@@ -77,51 +78,51 @@
     ended: watch::Receiver<bool>,
 }
 
-/// Reads the state of a running spread, for the state dump.
+/// Reads the state of the control thread for the state dump.
 #[derive(Clone)]
 pub struct StateReader {
     stats: Arc<SpreadStats>,
-    held: Arc<HeldConfig>,
+    config: Arc<HeldConfig>,
 }
 
 impl StateReader {
-    /// Gives the state as of now.
+    /// Returns the current state.
     pub fn state(&self) -> SpreadState {
-        self.stats.state(self.held.is_ready())
+        self.stats.state(self.config.is_ready())
     }
 }
 
-/// Ends of the queues between the parts.
-struct QueueEnds {
-    passes: mpsc::UnboundedReceiver<PassOrder>,
-    wants: mpsc::Receiver<FetchWant>,
-    confirms: mpsc::UnboundedReceiver<oneshot::Sender<ConfirmOutcome>>,
+/// Receiving ends of the queues between tasks.
+struct QueueReceivers {
+    forward_tasks: mpsc::UnboundedReceiver<ForwardTask>,
+    fetch_tasks: mpsc::Receiver<FetchTask>,
+    confirm_requests: mpsc::UnboundedReceiver<oneshot::Sender<ConfirmOutcome>>,
 }
 
 /// Starts the control thread.
 ///
 /// # Errors
 ///
-/// Returns an I/O error when the thread or its runtime cannot start.
+/// Returns an I/O error if the thread or its runtime cannot start.
 pub fn start_spread(
     options: SpreadOptions,
     listener: std::net::TcpListener,
     parts: SpreadParts,
 ) -> std::io::Result<SpreadHandle> {
     listener.set_nonblocking(true)?;
-    let (stop, stopped) = oneshot::channel();
+    let (stop, stop_signal) = oneshot::channel();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let stats = Arc::new(SpreadStats::default());
-    let reader = StateReader { stats: stats.clone(), held: parts.held.clone() };
-    let (ending, ended) = watch::channel(false);
+    let reader = StateReader { stats: stats.clone(), config: parts.held.clone() };
+    let (end_sender, ended) = watch::channel(false);
     let run = move || {
-        // Dropped with the thread, also where it panics.
-        let _ending = ending;
+        // Dropped at the end of the thread, including a panic.
+        let _end_sender = end_sender;
         let tasks = LocalSet::new();
         tasks.block_on(&runtime, async move {
             tokio::select! {
-                () = run_node(options, listener, parts, stats) => (),
-                _ = stopped => (),
+                () = run_tasks(options, listener, parts, stats) => (),
+                _ = stop_signal => (),
             }
         });
     };
@@ -130,29 +131,31 @@
 }
 
 impl SpreadHandle {
-    /// Gives a reader of the state.
+    /// Returns a reader of the state.
     pub fn reader(&self) -> StateReader {
         self.reader.clone()
     }
 
-    /// Gives a receiver whose sender is gone once the control thread has ended.
+    /// Returns a receiver whose sender is dropped once the control thread has ended.
     ///
-    /// A daemon whose control thread is gone would go on with old routes, unseen by the others;
-    /// one would notice only that its reports stay away.
+    /// A daemon without its control thread would go on serving old routes while the other daemons
+    /// no longer see it; the only symptom would be missing reports.
     pub fn ended(&self) -> watch::Receiver<bool> {
         self.ended.clone()
     }
 
-    /// Ends the control thread and waits for it, for a bounded time.
+    /// Ends the control thread and waits for it for a bounded time.
     pub fn stop(&mut self) {
         drop(self.stop.take());
         let Some(thread) = self.thread.take() else { return };
-        let until = Instant::now() + STOP_TIME;
-        while !thread.is_finished() && Instant::now() < until {
-            std::thread::sleep(STOP_LOOK);
+        let deadline = Instant::now() + STOP_TIMEOUT;
+        while !thread.is_finished() && Instant::now() < deadline {
+            std::thread::sleep(STOP_POLL_INTERVAL);
         }
         match thread.is_finished() {
-            false => log::error!("spread: the control thread does not end; it is left behind."),
+            false => log::error!(
+                "spread: the control thread did not end in time; the process ends without it."
+            ),
             true if thread.join().is_err() => log::error!("spread: the control thread panicked."),
             true => (),
         }
@@ -165,7 +168,8 @@
     }
 }
 
-async fn run_node(
+/// Runs all tasks of the control thread; they end only when the thread is stopped.
+async fn run_tasks(
     options: SpreadOptions,
     listener: std::net::TcpListener,
     parts: SpreadParts,
@@ -175,47 +179,48 @@
         Ok(listener) => listener,
         Err(err) => return log::error!("spread: cannot listen: {err}."),
     };
-    let (node, ends) = make_node(options, parts, stats);
-    let stage = watch::Sender::new(JoinStage::Trying);
+    let (node, receivers) = make_node(options, parts, stats);
+    let stage = watch::Sender::new(JoinStage::Pending);
     tokio::join!(
         accept_peers(&node, listener),
         join_fleet(&node, &stage),
-        settle_start(&node, stage.subscribe()),
-        keep_contacts(&node),
-        keep_relays(&node),
-        keep_links(&node),
-        watch_neighbours(&node),
-        pass_own_record(&node),
-        pass_notices(&node),
+        become_ready(&node, stage.subscribe()),
+        maintain_contacts(&node),
+        maintain_relays(&node),
+        maintain_links(&node),
+        monitor_neighbours(&node),
+        send_own_record(&node),
+        send_notices(&node),
         watch_source(&node),
-        confirm_source(&node, ends.confirms),
-        pass_versions(&node, ends.passes),
-        fetch_wanted(&node, ends.wants),
-        repair_forever(&node),
-        keep_acks(&node),
+        serve_confirmations(&node, receivers.confirm_requests),
+        forward_versions(&node, receivers.forward_tasks),
+        run_fetches(&node, receivers.fetch_tasks),
+        reconcile_repeatedly(&node),
+        deliver_acks(&node),
         flush_acks(&node),
     );
 }
 
+/// Creates the shared state and the queues between tasks.
 fn make_node(
     options: SpreadOptions,
     parts: SpreadParts,
     stats: Arc<SpreadStats>,
-) -> (Rc<SpreadNode>, QueueEnds) {
-    let (passes, pass_end) = mpsc::unbounded_channel();
-    let (wants, want_end) = mpsc::channel(MAX_WANTS);
-    let (confirms, confirm_end) = mpsc::unbounded_channel();
+) -> (Rc<SpreadNode>, QueueReceivers) {
+    let (forward_tasks, forward_receiver) = mpsc::unbounded_channel();
+    let (fetch_tasks, fetch_receiver) = mpsc::channel(MAX_QUEUED_FETCHES);
+    let (confirm_requests, confirm_receiver) = mpsc::unbounded_channel();
     let own = parts.members.own();
     let monitor = MonitorOptions { suspect: options.suspect_after, ..MonitorOptions::default() };
     let monitor = LivenessMonitor::new(own.proxy.clone(), own.incarnation, monitor);
     let node = SpreadNode {
         own_name: own.proxy.clone(),
-        start: Instant::now(),
-        held: parts.held,
+        started_at: Instant::now(),
+        config: parts.held,
         members: parts.members,
         source: parts.source,
         source_outage: OutageLog::new("spread", "the configuration source"),
-        freshness: RefCell::new(FreshnessBook::new(&own.proxy, options.look_options())),
+        freshness: RefCell::new(FreshnessBook::new(&own.proxy, options.takeover_options())),
         contacts: parts.contacts,
         acks: parts.acks,
         ack_batch: Default::default(),
@@ -223,22 +228,27 @@
         meter: parts.meter,
         stats,
         pool: Default::default(),
-        unproven: Cell::new(0),
+        unauthenticated: Cell::new(0),
         relays: watch::Sender::default(),
         links: RefCell::new(LinkBoard::new(monitor)),
-        places: Arc::new(Semaphore::new(options.max_fetches)),
-        passes,
-        wants,
-        confirms,
+        fetch_slots: Arc::new(Semaphore::new(options.max_fetches)),
+        forward_tasks,
+        fetch_tasks,
+        confirm_requests,
         last_push: RefCell::default(),
-        announced: Cell::new(0),
-        expected: Cell::new(0),
+        last_announced: Cell::new(0),
+        scheduled_fetch: Cell::new(0),
         options,
     };
-    let ends = QueueEnds { passes: pass_end, wants: want_end, confirms: confirm_end };
-    (Rc::new(node), ends)
+    let receivers = QueueReceivers {
+        forward_tasks: forward_receiver,
+        fetch_tasks: fetch_receiver,
+        confirm_requests: confirm_receiver,
+    };
+    (Rc::new(node), receivers)
 }
 
+/// Accepts connections of peers.
 async fn accept_peers(node: &Rc<SpreadNode>, listener: TcpListener) {
     loop {
         match listener.accept().await {
--- a/components/spread/src/gate.rs
+++ b/components/spread/src/gate.rs
@@ -1,4 +1,6 @@
-//! What a daemon gives to anyone who connects.
+//! Server side of the `Gate` interface, which any process that connects can call. It gives access
+//! to the `Peer` interface only in exchange for a proof of the shared secret, so that foreign
+//! processes can neither read nor change anything.
 
 use std::{
     cell::RefCell,
@@ -10,44 +12,50 @@
 use tokio::sync::oneshot;
 
 use crate::{
-    auth::{Nonce, ProofSide, is_proof, make_nonce, make_proof},
+    auth::{Nonce, ProofSide, make_nonce, make_proof, verify_proof},
     codec,
     counted::ByteAllowance,
     node::SpreadNode,
     peer_capnp::gate,
     server::PeerServer,
-    session::{PeerSession, SessionLink},
+    session::{PeerSession, SharedConnectionState},
 };
 
-/// The connection that a gate stands in, and whom to tell that its peer is proven.
-struct GateLink {
-    link: SessionLink,
+/// The connection that a gate server belongs to, and the channel that reports its authentication.
+struct GateConnection {
+    connection: SharedConnectionState,
     allowance: Arc<ByteAllowance>,
-    proven: oneshot::Sender<()>,
+    authenticated: oneshot::Sender<()>,
 }
 
-/// The capability that anyone who connects gets: it gives the peer interface against a proof.
+/// Answers an unauthenticated connection and exchanges the `Peer` interface for a valid proof.
 pub(crate) struct GateServer {
     node: Weak<SpreadNode>,
-    // Used once: a proof for it cannot be replayed in the same session either.
+    // Taken by the first attempt, so that a proof cannot be replayed in the same session either.
     nonce: RefCell<Option<Nonce>>,
-    link: RefCell<Option<GateLink>>,
+    connection: RefCell<Option<GateConnection>>,
 }
 
 impl GateServer {
+    /// Creates a gate server without a connection.
     pub(crate) fn new(node: &Rc<SpreadNode>) -> Self {
-        Self { node: Rc::downgrade(node), nonce: RefCell::default(), link: RefCell::default() }
+        Self {
+            node: Rc::downgrade(node),
+            nonce: RefCell::default(),
+            connection: RefCell::default(),
+        }
     }
 
-    /// Ties the gate to its connection and gives what resolves when the peer is proven.
-    pub(crate) fn attach(
+    /// Assigns the gate to its connection and returns a receiver that resolves once the peer has
+    /// authenticated.
+    pub(crate) fn assign_connection(
         &self,
-        link: SessionLink,
+        connection: SharedConnectionState,
         allowance: Arc<ByteAllowance>,
     ) -> oneshot::Receiver<()> {
-        let (proven, is_proven) = oneshot::channel();
-        self.link.replace(Some(GateLink { link, allowance, proven }));
-        is_proven
+        let (authenticated, authentication) = oneshot::channel();
+        self.connection.replace(Some(GateConnection { connection, allowance, authenticated }));
+        authentication
     }
 }
 
@@ -71,20 +79,24 @@
         let node = self.node.upgrade().ok_or_else(|| Error::disconnected("stopped".to_owned()))?;
         let params = params.get()?;
         let secret = node.options.secret.as_bytes();
-        let callee = self.nonce.take().ok_or_else(|| Error::failed("no challenge".to_owned()))?;
+        let callee = self
+            .nonce
+            .take()
+            .ok_or_else(|| Error::failed("no challenge was requested".to_owned()))?;
         let caller = params.get_nonce()?;
         let proxy = codec::read_text(params.get_proxy()?)?;
-        if !is_proof(secret, ProofSide::Caller, caller, &callee, params.get_proof()?) {
-            log::warn!("spread: refused a peer without the secret.");
+        if !verify_proof(secret, ProofSide::Caller, caller, &callee, params.get_proof()?) {
+            log::warn!("spread: refused a peer that does not know the secret.");
             return Err(Error::failed("proof does not match".to_owned()));
         }
-        let gate_link = self.link.take().ok_or_else(|| Error::failed("entered".to_owned()))?;
-        gate_link.allowance.lift();
-        // Its receiver is gone only where the time for the proof has just run out.
-        let _ = gate_link.proven.send(());
-        let session = PeerSession::new(proxy, params.get_peer()?, gate_link.link);
+        let gate_connection =
+            self.connection.take().ok_or_else(|| Error::failed("entered".to_owned()))?;
+        gate_connection.allowance.lift();
+        // The receiver is gone only if the time for authentication has just run out.
+        let _ = gate_connection.authenticated.send(());
+        let session = PeerSession::new(proxy, params.get_peer()?, gate_connection.connection);
         let server = PeerServer::new(&node);
-        server.open(&session);
+        server.set_session(&session);
         node.pool.add(session);
         let mut results = results.get();
         results.set_proof(&make_proof(secret, ProofSide::Callee, caller, &callee));
--- a/components/spread/src/link_board.rs
+++ b/components/spread/src/link_board.rs
@@ -1,4 +1,4 @@
-//! The links of a daemon and what is decided over them.
+//! The links of a daemon, with the liveness monitor and the rumor queues that work over them.
 
 use std::{cell::Cell, collections::BTreeMap, rc::Rc, time::Duration};
 
@@ -10,66 +10,75 @@
 
 /// One link of this daemon.
 pub(crate) struct LinkState {
-    /// Wakes the link's task for news, or because the link was removed.
-    pub(crate) news: Notify,
+    /// Wakes the link's task for rumors, or because the link was removed.
+    pub(crate) wakeup: Notify,
     /// Whether this side opens the connection and sends the heartbeats.
-    pub(crate) is_chosen: bool,
-    /// Whether a heartbeat is to be sent now, whichever side sends them otherwise.
-    pub(crate) wants_beat: Cell<bool>,
+    pub(crate) is_initiator: bool,
+    /// Whether to send a heartbeat now, even if the other side usually sends them.
+    pub(crate) is_beat_requested: Cell<bool>,
 }
 
 impl LinkState {
-    pub(crate) fn new(is_chosen: bool) -> Self {
-        Self { news: Notify::new(), is_chosen, wants_beat: Cell::new(false) }
+    pub(crate) fn new(is_initiator: bool) -> Self {
+        Self { wakeup: Notify::new(), is_initiator, is_beat_requested: Cell::new(false) }
     }
 }
 
-/// The links and what is decided over them.
+/// All links, the liveness monitor and the rumor queues.
 pub(crate) struct LinkBoard {
+    /// Rumors pending per link.
     pub(crate) rumors: RumorQueue,
+    /// Detects failed neighbours.
     pub(crate) monitor: LivenessMonitor,
+    /// Links by neighbour.
     pub(crate) links: BTreeMap<ProxyId, Rc<LinkState>>,
-    start: Instant,
+    started_at: Instant,
 }
 
 impl LinkBoard {
     pub(crate) fn new(monitor: LivenessMonitor) -> Self {
-        Self { rumors: RumorQueue::new(), monitor, links: BTreeMap::new(), start: Instant::now() }
+        Self {
+            rumors: RumorQueue::new(),
+            monitor,
+            links: BTreeMap::new(),
+            started_at: Instant::now(),
+        }
     }
 
-    /// Gives the time on the monitor's clock.
+    /// Returns the time on the monitor's clock.
     pub(crate) fn now(&self) -> Duration {
-        self.start.elapsed()
+        self.started_at.elapsed()
     }
 
-    /// Lets the monitor decide what is due.
+    /// Runs the monitor and returns the events that are due.
     pub(crate) fn tick(&mut self, view: &MemberView) -> Vec<MonitorEvent> {
         let now = self.now();
         self.monitor.tick(view, now)
     }
 
-    /// Notes an observer's word and passes it on if it was new.
-    pub(crate) fn note_word(&mut self, word: MemberSuspicion, from: &ProxyId) {
+    /// Passes an observer's suspicion to the monitor, and queues it for the other links if it is
+    /// new.
+    pub(crate) fn note_suspicion(&mut self, suspicion: MemberSuspicion, from: &ProxyId) {
         let now = self.now();
-        if self.monitor.note(word.clone(), now) {
-            self.push(&MemberRumor::Suspicion(word), Some(from));
+        if self.monitor.note(suspicion.clone(), now) {
+            self.push(&MemberRumor::Suspicion(suspicion), Some(from));
         }
     }
 
-    /// Has a heartbeat sent over every link at once.
-    pub(crate) fn send_beats(&self) {
+    /// Requests a heartbeat over every link at once.
+    pub(crate) fn request_beats(&self) {
         for link in self.links.values() {
-            link.wants_beat.set(true);
-            link.news.notify_one();
+            link.is_beat_requested.set(true);
+            link.wakeup.notify_one();
         }
     }
 
-    /// Queues news for every link but the one they came by.
+    /// Queues a rumor for every link except the one it came from.
     pub(crate) fn push(&mut self, rumor: &MemberRumor, from: Option<&ProxyId>) {
         self.rumors.push(rumor, from);
         for (proxy, link) in &self.links {
             if self.rumors.pending(proxy) > 0 {
-                link.news.notify_one();
+                link.wakeup.notify_one();
             }
         }
     }
--- a/components/spread/src/neighbours.rs
+++ b/components/spread/src/neighbours.rs
@@ -1,4 +1,5 @@
-//! Carrying out what the liveness monitor decides.
+//! Applies the decisions of the liveness monitor: suspicions, daemons declared gone, and the
+//! recovery after a pause of this process.
 
 use std::{rc::Rc, time::Duration};
 
@@ -7,20 +8,20 @@
 
 use crate::{connect::sweep_sessions, node::SpreadNode};
 
-/// Time between looks at what the monitor has to decide.
-const TICK_PAUSE: Duration = Duration::from_millis(200);
-/// Time between looks for records that may be forgotten.
-const EXPIRE_PAUSE: Duration = Duration::from_secs(5);
+/// Time between runs of the monitor.
+const MONITOR_INTERVAL: Duration = Duration::from_millis(200);
+/// Time between removals of expired records.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Lets the monitor decide, and does what it asks.
-pub(crate) async fn watch_neighbours(node: &Rc<SpreadNode>) {
+/// Runs the monitor periodically and applies its events.
+pub(crate) async fn monitor_neighbours(node: &Rc<SpreadNode>) {
     let mut last_expiry = Instant::now();
     loop {
-        tokio::time::sleep(TICK_PAUSE).await;
+        tokio::time::sleep(MONITOR_INTERVAL).await;
         let view = node.view();
         let events = node.links.borrow_mut().tick(&view);
-        events.into_iter().for_each(|event| obey(node, event));
-        if last_expiry.elapsed() > EXPIRE_PAUSE {
+        events.into_iter().for_each(|event| apply_event(node, event));
+        if last_expiry.elapsed() > EXPIRY_INTERVAL {
             last_expiry = Instant::now();
             let now = node.links.borrow().now();
             node.members.update(|table| table.expire(now), |dropped| *dropped > 0);
@@ -29,10 +30,11 @@
     }
 }
 
-fn obey(node: &SpreadNode, event: MonitorEvent) {
+/// Applies one decision of the monitor.
+fn apply_event(node: &SpreadNode, event: MonitorEvent) {
     match event {
-        MonitorEvent::Spread(word) => {
-            node.links.borrow_mut().push(&MemberRumor::Suspicion(word), None);
+        MonitorEvent::Spread(suspicion) => {
+            node.links.borrow_mut().push(&MemberRumor::Suspicion(suspicion), None);
         }
         MonitorEvent::Gone { proxy, incarnation, sequence } => {
             let declare = |table: &mut MemberTable| {
@@ -48,7 +50,7 @@
         MonitorEvent::Paused(pause) => {
             log::warn!("spread: this process was paused for {} ms.", pause.as_millis());
             node.members.update(|table| table.withdraw_endpoints(), |is_changed| *is_changed);
-            node.freshness.borrow_mut().restart(node.start.elapsed());
+            node.freshness.borrow_mut().restart(node.started_at.elapsed());
         }
     }
 }
--- a/components/spread/src/node.rs
+++ b/components/spread/src/node.rs
@@ -1,4 +1,6 @@
-//! What the parts of the control thread share.
+//! State shared by the tasks of the control thread, and the steps that several of them take:
+//! offering a version, forwarding it, and recording when the held version was known to be the
+//! newest. A single thread uses it, so that no task waits for a lock of another one.
 
 use std::{
     cell::{Cell, RefCell},
@@ -17,60 +19,66 @@
 use crate::{
     ack_batch::AckBatch,
     counted::ControlMeter,
-    held::{HeldConfig, OfferOutcome},
+    held_config::{HeldConfig, OfferOutcome},
     link_board::LinkBoard,
     options::SpreadOptions,
-    orders::{ConfirmOutcome, FetchWant, PassOrder, VersionOrigin},
     pool::PeerPool,
     relay_view::RelayView,
     source::{AckSink, ConfigSource, ContactBook, NoticeBoard},
     state::SpreadStats,
+    tasks::{ConfirmOutcome, FetchTask, ForwardTask, VersionOrigin},
 };
 
-/// Name under which the configuration source appears in reports.
+/// Name of the configuration source in reports of where a version came from.
 pub(crate) const PLATFORM: &str = "platform";
-/// Time without a byte from a peer until a call to it counts as failed. Answers begin within
-/// milliseconds; a paused peer must not hold up for long what another one could answer.
+/// Time without a byte from a peer after which a call to it fails. Answers begin within
+/// milliseconds; a longer wait for a paused peer delays what another peer can answer.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What the parts of the control thread share. Used by that thread only.
+/// State shared by the tasks of the control thread, and used on that thread only.
 pub(crate) struct SpreadNode {
     pub(crate) options: SpreadOptions,
     pub(crate) own_name: ProxyId,
-    /// From where times of proofs count.
-    pub(crate) start: Instant,
-    pub(crate) held: Arc<HeldConfig>,
+    /// Origin of the times in freshness proofs.
+    pub(crate) started_at: Instant,
+    /// The held configuration.
+    pub(crate) config: Arc<HeldConfig>,
     pub(crate) members: Arc<MemberBoard>,
     pub(crate) source: Arc<dyn ConfigSource>,
     pub(crate) source_outage: OutageLog,
+    /// Freshness proofs: when this daemon or a peer last knew that the held version is the newest.
     pub(crate) freshness: RefCell<FreshnessBook>,
     pub(crate) contacts: Option<Arc<dyn ContactBook>>,
     pub(crate) acks: Arc<dyn AckSink>,
+    /// Acknowledgements to pass on if this daemon is a relay.
     pub(crate) ack_batch: AckBatch,
     pub(crate) notices: Option<Arc<dyn NoticeBoard>>,
     pub(crate) meter: Arc<ControlMeter>,
     pub(crate) stats: Arc<SpreadStats>,
     pub(crate) pool: PeerPool,
-    /// Connections that peers opened and that have proved nothing yet.
-    pub(crate) unproven: Cell<usize>,
+    /// Number of connections opened by peers that have not authenticated yet.
+    pub(crate) unauthenticated: Cell<usize>,
     pub(crate) relays: watch::Sender<RelayView>,
     pub(crate) links: RefCell<LinkBoard>,
-    /// Places for fetches served at once.
-    pub(crate) places: Arc<Semaphore>,
-    pub(crate) passes: mpsc::UnboundedSender<PassOrder>,
-    pub(crate) wants: mpsc::Sender<FetchWant>,
-    pub(crate) confirms: mpsc::UnboundedSender<oneshot::Sender<ConfirmOutcome>>,
-    /// The last push along a tree.
+    /// Limits the fetches served at once.
+    pub(crate) fetch_slots: Arc<Semaphore>,
+    /// Queue of versions to forward.
+    pub(crate) forward_tasks: mpsc::UnboundedSender<ForwardTask>,
+    /// Queue of versions to fetch.
+    pub(crate) fetch_tasks: mpsc::Sender<FetchTask>,
+    /// Queue of requests to read the source.
+    pub(crate) confirm_requests: mpsc::UnboundedSender<oneshot::Sender<ConfirmOutcome>>,
+    /// Version and origin of the last push received along a tree.
     pub(crate) last_push: RefCell<Option<(Version, VersionOrigin)>>,
-    /// Newest version announced after a pause.
-    pub(crate) announced: Cell<Version>,
-    /// Version that a late fetch waits for already.
-    pub(crate) expected: Cell<Version>,
+    /// Newest version announced after a delay.
+    pub(crate) last_announced: Cell<Version>,
+    /// Version for which a delayed fetch is scheduled already; zero for none.
+    pub(crate) scheduled_fetch: Cell<Version>,
 }
 
 impl SpreadNode {
-    /// Lists the records of the other members believed reachable.
-    pub(crate) fn others(&self) -> Vec<Arc<MemberRecord>> {
+    /// Lists the records of all other members that are believed reachable.
+    pub(crate) fn other_members(&self) -> Vec<Arc<MemberRecord>> {
         let view = self.members.view();
         let is_other = |record: &&Arc<MemberRecord>| record.proxy != self.own_name;
         view.values().filter(is_other).filter(|record| record.is_present()).cloned().collect()
@@ -80,7 +88,7 @@
         self.members.view()
     }
 
-    /// Offers a version; a newer one is passed on.
+    /// Offers a version to the held configuration, and queues it for forwarding if it is newer.
     pub(crate) fn offer(
         &self,
         snapshot: ConfigSnapshot,
@@ -88,37 +96,37 @@
         origin: VersionOrigin,
     ) -> OfferOutcome {
         let version = snapshot.version();
-        let base = self.held.newest();
-        let outcome = self.held.offer(snapshot, source, unix_now());
+        let base = self.config.newest();
+        let outcome = self.config.offer(snapshot, source, unix_now());
         match &outcome {
             OfferOutcome::Applied => {
                 log::info!("spread: version {version} from {source}.");
-                let order = PassOrder { base, newest: self.held.newest(), origin };
+                let task = ForwardTask { base, newest: self.config.newest(), origin };
                 // The receiver lives as long as the control thread.
-                let _ = self.passes.send(order);
+                let _ = self.forward_tasks.send(task);
             }
             OfferOutcome::NotNewer => (),
             OfferOutcome::Diverged => self.report_diverged(version, source),
             OfferOutcome::Rejected(rejected) => {
-                log::warn!("spread: version {version} refused: {}.", rejected.reason);
+                log::warn!("spread: rejected version {version}: {}.", rejected.reason);
             }
         }
         outcome
     }
 
-    /// Notes a push along a tree and tells whether it is the first of that version there. A second
-    /// one comes only where a parent took this daemon for failed.
+    /// Records a push along a tree and returns whether it is the first of that version there. A
+    /// second one arrives only if a parent took this daemon for failed.
     pub(crate) fn note_push(&self, version: Version, origin: &VersionOrigin) -> bool {
         let push = Some((version, origin.clone()));
         self.last_push.replace(push.clone()) != push
     }
 
-    /// Passes a version on that was held before it was pushed here.
+    /// Forwards a version that this daemon already held when it was pushed here.
     ///
-    /// The second relay of a data centre sees each version in the platform itself and stands
-    /// inside the first one's tree. If it took the push for done, its children there would hold
-    /// the version only after its own announcement, some 300 ms later than all others.
-    pub(crate) fn pass_along(
+    /// The second relay of a data centre receives each version from the platform itself and is an
+    /// inner node of the first relay's tree. If it ignored the push, its children there would get
+    /// the version only from its own announcement, about 300 ms after all others.
+    pub(crate) fn forward_known(
         &self,
         base: Version,
         newest: Arc<ConfigSnapshot>,
@@ -126,47 +134,47 @@
     ) {
         let base = match base {
             0 => Some(Arc::default()),
-            base => self.held.base(base),
+            base => self.config.base(base),
         };
         let Some(base) = base else { return };
         // The receiver lives as long as the control thread.
-        let _ = self.passes.send(PassOrder { base, newest, origin });
+        let _ = self.forward_tasks.send(ForwardTask { base, newest, origin });
     }
 
-    /// Says that a peer holds another content under a version held here. Two histories under one
-    /// prefix cannot both be the accepted one; only an operator can tell which is.
+    /// Reports that a peer holds different content under a version held here. Of two histories
+    /// under one prefix only one was accepted, and only an operator can decide which.
     pub(crate) fn report_diverged(&self, version: Version, peer: &str) {
         if self.stats.note_diverged(version) {
-            log::error!("spread: {peer} holds another content under version {version}.");
+            log::error!("spread: {peer} holds different content under version {version}.");
         }
     }
 
-    /// Notes that this daemon itself saw at `seen_at` that the source had nothing newer.
-    pub(crate) fn note_seen(&self, seen_at: Instant) {
-        let seen_at = seen_at.saturating_duration_since(self.start);
+    /// Records that this daemon itself found nothing newer at the source at `read_at`.
+    pub(crate) fn note_source_read(&self, read_at: Instant) {
+        let seen_at = read_at.saturating_duration_since(self.started_at);
         let looker = self.freshness.borrow().own();
         self.note_proof(FreshnessProof { looker, seen_at, history: self.source.history() });
     }
 
-    /// Notes a proof that what is held here was the newest version.
+    /// Records a proof that the version held here was the newest one.
     pub(crate) fn note_proof(&self, proof: FreshnessProof) {
-        self.freshness.borrow_mut().offer(proof, self.start.elapsed());
-        self.stats.note_source_seen(self.start + proof.seen_at);
+        self.freshness.borrow_mut().offer(proof, self.started_at.elapsed());
+        self.stats.note_source_read_at(self.started_at + proof.seen_at);
     }
 
-    /// Looks at the configuration source, together with all others that ask meanwhile.
-    pub(crate) async fn confirm(&self) -> ConfirmOutcome {
-        let (answer, answered) = oneshot::channel();
-        let _ = self.confirms.send(answer);
-        answered.await.unwrap_or(ConfirmOutcome::Away)
+    /// Reads the configuration source once for all callers that ask during the same batch.
+    pub(crate) async fn confirm_newest(&self) -> ConfirmOutcome {
+        let (response_sender, response) = oneshot::channel();
+        let _ = self.confirm_requests.send(response_sender);
+        response.await.unwrap_or(ConfirmOutcome::Unreachable)
     }
 
-    /// Puts the newest version in force for the first time.
-    pub(crate) fn set_ready(&self, how: &str) {
-        if !self.held.is_ready() {
-            let version = self.held.newest().version();
-            log::info!("spread: ready with version {version}, {how}.");
-            self.held.set_ready(unix_now());
+    /// Puts the newest version in force for the first time; `confirmed_by` is for the log.
+    pub(crate) fn set_ready(&self, confirmed_by: &str) {
+        if !self.config.is_ready() {
+            let version = self.config.newest().version();
+            log::info!("spread: ready with version {version}, confirmed by {confirmed_by}.");
+            self.config.set_ready(unix_now());
         }
     }
 }
--- a/components/spread/src/state.rs
+++ b/components/spread/src/state.rs
@@ -1,4 +1,5 @@
-//! What the spread shows of itself in a state dump.
+//! State of the control thread for the state dump: links, relays, age of the source, and counters
+//! by kind of call.
 
 use std::{
     array,
@@ -16,7 +17,7 @@
 
 use crate::relay_view::RelayView;
 
-/// Bytes in a word of the wire format.
+/// Bytes in one word of the Cap'n Proto encoding.
 const WORD_BYTES: u64 = 8;
 
 /// Kinds of calls between daemons.
@@ -25,10 +26,10 @@
     /// Heartbeats over links.
     #[display("beat")]
     Beat,
-    /// Records and words of observers passed on.
+    /// Changed records and suspicions.
     #[display("rumor")]
     Rumor,
-    /// Comparisons of records.
+    /// Reconciliations of records.
     #[display("reconcile")]
     Reconcile,
     /// Versions pushed along a tree.
@@ -40,7 +41,7 @@
     /// Versions fetched.
     #[display("fetch")]
     Fetch,
-    /// News of the request path.
+    /// Notices about requests, such as those that crash servers.
     #[display("notice")]
     Notice,
     /// Acknowledgements.
@@ -48,7 +49,8 @@
     Ack,
 }
 
-const KINDS: [CallKind; 8] = [
+/// All kinds, in the order of their counters.
+const CALL_KINDS: [CallKind; 8] = [
     CallKind::Beat,
     CallKind::Rumor,
     CallKind::Reconcile,
@@ -59,11 +61,11 @@
     CallKind::Ack,
 ];
 
-/// Traffic of one kind of call since the start of the process: payloads as encoded, without the
+/// Traffic of one kind of call since the start of the process: encoded payloads without the
 /// framing of calls and TCP. [`ControlMeter`](crate::ControlMeter) counts all bytes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct KindBytes {
-    /// Kind of call.
+    /// Name of the kind of call.
     pub kind: String,
     /// Messages sent.
     pub calls: u64,
@@ -73,36 +75,37 @@
     pub received: u64,
 }
 
-/// The spread as of one moment.
+/// Snapshot of the control thread's state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct SpreadState {
-    /// Whether the daemon holds what it must before it serves.
+    /// Whether the daemon holds the version it needs before it serves.
     pub is_ready: bool,
     /// Whether it watches the configuration source for its data centre.
     pub is_relay: bool,
-    /// The relays of its data centre, first choice first.
+    /// Relays of its data centre, ordered by preference.
     pub relays: Vec<ProxyId>,
-    /// Daemons it shares a link with.
+    /// Daemons that it has a link to.
     pub links: Vec<ProxyId>,
-    /// Connections open as of the last look, a few seconds ago at most.
+    /// Open connections as of the last sweep, at most a few seconds ago.
     pub connections: u64,
-    /// What the configuration source said last; none while it answers.
+    /// Last error of the configuration source; `None` while it answers.
     pub source_fault: Option<String>,
-    /// Milliseconds since the source was known to have nothing newer than what is held here, by
-    /// this daemon's own look or by what peers told; none where that is not known.
+    /// Milliseconds since the source was known to have nothing newer than the version held here,
+    /// from this daemon's own read or from peers; `None` if unknown.
     pub source_age_ms: Option<u64>,
-    /// Looks at the configuration source other than watches.
+    /// Reads of the configuration source other than watches.
     pub source_reads: u64,
     /// Fetches served.
     pub fetches_served: u64,
-    /// Fetches refused because too many were served at once.
+    /// Fetches refused because too many were being served.
     pub fetches_refused: u64,
-    /// Newest version under which a peer holds another content; zero where none does.
+    /// Newest version under which a peer holds different content; zero if there is none.
     pub diverged: Version,
     /// Traffic by kind of call.
     pub kinds: Vec<KindBytes>,
 }
 
+/// Counters of one kind of call.
 #[derive(Default)]
 struct KindCounter {
     calls: AtomicU64,
@@ -110,24 +113,24 @@
     received: AtomicU64,
 }
 
-/// Parts of the state that are not counters.
+/// State that is not a counter.
 #[derive(Default)]
 struct StateParts {
     relays: RelayView,
     links: Vec<ProxyId>,
     source_fault: Option<String>,
-    source_seen: Option<Instant>,
+    source_read_at: Option<Instant>,
 }
 
-fn age_millis(seen_at: Instant) -> u64 {
-    u64::try_from(seen_at.elapsed().as_millis()).unwrap_or(u64::MAX)
+fn age_ms(read_at: Instant) -> u64 {
+    u64::try_from(read_at.elapsed().as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Counters of the control thread, readable from others.
+/// State of the control thread, readable from other threads.
 #[derive(Default)]
 pub(crate) struct SpreadStats {
     parts: Mutex<StateParts>,
-    kinds: [KindCounter; KINDS.len()],
+    kinds: [KindCounter; CALL_KINDS.len()],
     connections: AtomicU64,
     source_reads: AtomicU64,
     fetches_served: AtomicU64,
@@ -136,45 +139,48 @@
 }
 
 impl SpreadStats {
+    /// Counts a sent message.
     pub(crate) fn sent(&self, kind: CallKind, size: MessageSize) {
         let counter = &self.kinds[kind as usize];
         counter.calls.fetch_add(1, Ordering::Relaxed);
         counter.sent.fetch_add(size.word_count * WORD_BYTES, Ordering::Relaxed);
     }
 
+    /// Counts a received message.
     pub(crate) fn received(&self, kind: CallKind, size: MessageSize) {
         let counter = &self.kinds[kind as usize];
         counter.received.fetch_add(size.word_count * WORD_BYTES, Ordering::Relaxed);
     }
 
-    pub(crate) fn set_sessions(&self, count: usize) {
+    pub(crate) fn set_connections(&self, count: usize) {
         self.connections.store(count as u64, Ordering::Relaxed);
     }
 
-    pub(crate) fn count_read(&self) {
+    pub(crate) fn count_source_read(&self) {
         self.source_reads.fetch_add(1, Ordering::Relaxed);
     }
 
-    pub(crate) fn count_served(&self) {
+    pub(crate) fn count_fetch_served(&self) {
         self.fetches_served.fetch_add(1, Ordering::Relaxed);
     }
 
-    pub(crate) fn count_refused(&self) {
+    pub(crate) fn count_fetch_refused(&self) {
         self.fetches_refused.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Notes a version with two contents and tells whether it is news.
+    /// Records a version with two different contents and returns whether it is the newest one so
+    /// far.
     pub(crate) fn note_diverged(&self, version: Version) -> bool {
         self.diverged.fetch_max(version, Ordering::Relaxed) < version
     }
 
-    pub(crate) fn note_source(&self, fault: Option<String>) {
+    pub(crate) fn set_source_fault(&self, fault: Option<String>) {
         self.with_parts(|parts| parts.source_fault = fault);
     }
 
-    /// Notes since when the source is known to have nothing newer than what is held here.
-    pub(crate) fn note_source_seen(&self, seen_at: Instant) {
-        self.with_parts(|parts| parts.source_seen = parts.source_seen.max(Some(seen_at)));
+    /// Records when the source was known to have nothing newer than the version held here.
+    pub(crate) fn note_source_read_at(&self, read_at: Instant) {
+        self.with_parts(|parts| parts.source_read_at = parts.source_read_at.max(Some(read_at)));
     }
 
     pub(crate) fn set_links(&self, links: Vec<ProxyId>) {
@@ -189,10 +195,10 @@
         change(&mut self.parts.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Gives the state as of now.
+    /// Returns the current state.
     pub(crate) fn state(&self, is_ready: bool) -> SpreadState {
-        let kinds: [KindBytes; KINDS.len()] = array::from_fn(|index| KindBytes {
-            kind: KINDS[index].to_string(),
+        let kinds: [KindBytes; CALL_KINDS.len()] = array::from_fn(|index| KindBytes {
+            kind: CALL_KINDS[index].to_string(),
             calls: self.kinds[index].calls.load(Ordering::Relaxed),
             sent: self.kinds[index].sent.load(Ordering::Relaxed),
             received: self.kinds[index].received.load(Ordering::Relaxed),
@@ -203,7 +209,7 @@
             relays: parts.relays.relays.iter().map(|relay| relay.proxy.clone()).collect(),
             links: parts.links.clone(),
             source_fault: parts.source_fault.clone(),
-            source_age_ms: parts.source_seen.map(age_millis),
+            source_age_ms: parts.source_read_at.map(age_ms),
             connections: self.connections.load(Ordering::Relaxed),
             source_reads: self.source_reads.load(Ordering::Relaxed),
             fetches_served: self.fetches_served.load(Ordering::Relaxed),
