--- a/components/lab/src/fleet.rs
+++ b/components/lab/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Servers and daemons of a scenario, with the decisions' own state.
+//! Servers and daemons of a simulated fleet, with the state that the daemons' decision code keeps.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -9,59 +9,60 @@
 
 use crate::scenario::Scenario;
 
-/// Servers are older than any warm-up at the start.
-const OLD: Duration = Duration::from_secs(3600);
+/// Age of all servers when a run starts, above any warm-up time, so that no server counts as new.
+const SERVER_AGE_AT_START: Duration = Duration::from_secs(3600);
 
-/// The daemons' settings that are tried.
+/// Settings of the daemons in a run.
 #[derive(Clone, Copy, Debug)]
 pub struct LabPolicy {
-    /// Placing.
+    /// Placement of requests on servers.
     pub placement: PlacementSettings,
-    /// Admission; each server's slots are the scenario's.
+    /// Admission of requests at servers; the number of slots comes from the scenario instead.
     pub guard: GuardSettings,
-    /// Attempts that no server took in and that are made again elsewhere.
+    /// Refused attempts of one request that the daemon repeats on another server.
     pub free_moves: u8,
 }
 
-/// Place of a call among all of a run.
+/// Index of a call among all calls of a run.
 pub(crate) type CallIndex = usize;
-/// Place of a server among all, which is that of the daemon beside it too.
+/// Index of a server among all servers, and of the daemon beside it.
 pub(crate) type ServerIndex = usize;
 
-/// A backend server with its guard.
-pub(crate) struct LabServer {
+/// A backend server with the admission guard of its daemon.
+pub(crate) struct SimulatedServer {
     pub(crate) service: String,
     pub(crate) data_centre: String,
     /// Factor on the work of each request.
     pub(crate) slowness: f64,
     pub(crate) guard: AdmissionGuard,
-    /// Calls that run or wait here.
-    pub(crate) held: BTreeMap<Ticket, CallIndex>,
+    /// Calls that run or queue here.
+    pub(crate) admitted: BTreeMap<Ticket, CallIndex>,
 }
 
-/// What one daemon knows of each service.
+/// The placement tables of one daemon, by service.
 pub(crate) type DaemonTables = BTreeMap<String, Arc<PlacementTable>>;
 
-/// Makes the servers of a scenario, in the order of its file.
-pub(crate) fn make_servers(scenario: &Scenario, policy: &LabPolicy) -> Vec<LabServer> {
-    let groups = scenario.servers.iter();
-    let all = groups.flat_map(|plan| std::iter::repeat_n(plan, plan.count));
-    all.map(|plan| LabServer {
-        service: plan.service.clone(),
-        data_centre: plan.data_centre.clone(),
-        slowness: plan.slowness,
-        guard: AdmissionGuard::new(
-            GuardSettings { slots: plan.slots, ..policy.guard },
-            Duration::ZERO,
-        ),
-        held: BTreeMap::new(),
-    })
-    .collect()
+/// Creates the servers of a scenario, in the order of its file.
+pub(crate) fn make_servers(scenario: &Scenario, policy: &LabPolicy) -> Vec<SimulatedServer> {
+    let plans = scenario.servers.iter();
+    let server_plans = plans.flat_map(|plan| std::iter::repeat_n(plan, plan.count));
+    server_plans
+        .map(|plan| SimulatedServer {
+            service: plan.service.clone(),
+            data_centre: plan.data_centre.clone(),
+            slowness: plan.slowness,
+            guard: AdmissionGuard::new(
+                GuardSettings { slots: plan.slots, ..policy.guard },
+                Duration::ZERO,
+            ),
+            admitted: BTreeMap::new(),
+        })
+        .collect()
 }
 
-/// Makes what the daemon beside a server knows: all servers, and nothing of their load.
+/// Creates the tables of the daemon beside a server. They list all servers, without any load yet.
 pub(crate) fn make_tables(
-    servers: &[LabServer],
+    servers: &[SimulatedServer],
     daemon: ServerIndex,
     policy: &LabPolicy,
 ) -> DaemonTables {
@@ -72,7 +73,13 @@
             false => EndpointDistance::SameRegion,
         };
         let slots = server.guard.state(Duration::ZERO).slots;
-        let record = EndpointRecord { id: index as u64, incarnation: 1, slots, distance, age: OLD };
+        let record = EndpointRecord {
+            id: index as u64,
+            incarnation: 1,
+            slots,
+            distance,
+            age: SERVER_AGE_AT_START,
+        };
         records.entry(server.service.clone()).or_default().push(record);
     }
     let table = |records: &Vec<EndpointRecord>| {
--- a/components/lab/src/lib.rs
+++ b/components/lab/src/lib.rs
@@ -1,14 +1,15 @@
-//! The daemons' decisions on a fleet that is only computed.
+//! Simulates a fleet in virtual time with the daemons' own decision code.
 //!
-//! An engineer asks what a setting would do to a fleet before it is changed there. A scenario describes
-//! the fleet, its callers and its faults; the decisions are those of the daemons, the same code with the
-//! same settings; time is virtual, and one seed gives one course. `docs/LAB.md` tells what is left out.
+//! Shows what a changed setting would do to a fleet, so that nobody has to try it on a real one
+//! first. A scenario describes the fleet, its callers and its faults; placement and admission run
+//! the daemons' code with the daemons' settings, and the same seed always produces the same run.
+//! `docs/LAB.md` lists what the simulation leaves out.
 
 mod compare;
 mod figures;
 mod fleet;
 mod scenario;
-mod world;
+mod simulation;
 
 pub use compare::{PairedMean, compare_policies};
 pub use figures::{RouteFigures, RunFigures};
@@ -16,4 +17,4 @@
 pub use scenario::{
     FaultKind, FaultPlan, LoadPlan, RoutePlan, Scenario, ScenarioError, ServerPlan, parse_scenario,
 };
-pub use world::run_scenario;
+pub use simulation::run_scenario;
--- a/components/lab/src/scenario.rs
+++ b/components/lab/src/scenario.rs
@@ -1,44 +1,48 @@
-//! What is played: a fleet, its callers and its faults.
+//! Scenarios: a fleet, its callers and its faults, read from TOML.
+//!
+//! Values outside their range are rejected with the key and what is allowed, so that no run starts
+//! from a scenario that makes no sense or takes too long.
 
 use std::collections::BTreeSet;
 
 use serde::Deserialize;
 use thiserror::Error;
 
-/// A fleet with its load. All times are in milliseconds or seconds, as the names say.
+/// A fleet with its load and faults. Times are in milliseconds where the name ends in `_ms`,
+/// otherwise in seconds.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Seconds that are played, 1 to 3600.
+    /// Simulated time in seconds, 1 to 3600.
     pub seconds: f64,
-    /// One way between daemons of one data centre, in milliseconds.
+    /// One-way transit time between daemons of one data centre, in milliseconds.
     pub near_ms: f64,
-    /// One way between data centres, in milliseconds.
+    /// One-way transit time between data centres, in milliseconds.
     pub far_ms: f64,
-    /// Groups of equal backend servers.
+    /// Groups of identical backend servers.
     pub servers: Vec<ServerPlan>,
     /// Kinds of requests.
     pub routes: Vec<RoutePlan>,
-    /// Requests by data centre.
+    /// Rates of requests by data centre.
     pub load: Vec<LoadPlan>,
-    /// What goes wrong.
+    /// Faults during the run.
     #[serde(default)]
     pub faults: Vec<FaultPlan>,
 }
 
-/// Equal backend servers in one data centre.
+/// A group of identical backend servers in one data centre.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServerPlan {
-    /// Service that they run.
+    /// Service that the servers run.
     pub service: String,
-    /// Data centre.
+    /// Data centre of the servers.
     pub data_centre: String,
-    /// How many, 1 to 1000.
+    /// Number of servers, 1 to 1000.
     pub count: usize,
-    /// Requests that each runs at once, 1 to 1000.
+    /// Requests that each server runs at once, 1 to 1000.
     pub slots: u32,
-    /// Factor on the work of each request.
+    /// Factor on the work of each request, 0.01 to 100.
     pub slowness: f64,
 }
 
@@ -46,25 +50,25 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RoutePlan {
-    /// Name in the figures.
+    /// Name of the route in the results.
     pub name: String,
-    /// Service that runs them.
+    /// Service that runs the requests.
     pub service: String,
-    /// Mean work in milliseconds.
+    /// Mean work of a request in milliseconds, 0.1 to 60000.
     pub work_ms: f64,
-    /// Deviation of the work, as a part of its mean; the work is log-normal.
+    /// Standard deviation of the work as a multiple of its mean, 0 to 10; the work is log-normal.
     pub spread: f64,
     /// Response-time goal in milliseconds.
     pub goal_ms: f64,
-    /// Time that a caller waits, in milliseconds.
+    /// Time that a caller waits for the answer, retries included, in milliseconds.
     pub deadline_ms: f64,
-    /// Rank, 0 the most urgent.
+    /// Rank of the requests, 0 the most urgent.
     pub rank: u8,
-    /// Bytes of a request with its answer.
+    /// Bytes of a request and its answer together.
     pub bytes: u64,
-    /// Requests of this kind among all, as a weight.
+    /// Share of this kind among all requests, as a weight from 0 to 1000000.
     pub weight: f64,
-    /// Times that a refused caller comes back.
+    /// Number of times that a caller retries a refused request.
     pub returns: u8,
 }
 
@@ -72,88 +76,89 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadPlan {
-    /// Where they call.
+    /// Data centre whose daemons receive the requests; some server must run in it.
     pub data_centre: String,
-    /// Requests a second.
+    /// Requests a second, 0 to 100000.
     pub rate: f64,
 }
 
-/// Something that goes wrong for a time.
+/// A fault with its start and length.
 #[derive(Clone, Debug, Deserialize)]
 pub struct FaultPlan {
-    /// Second at which it begins.
+    /// Second at which the fault begins.
     pub at: f64,
-    /// Seconds that it lasts.
+    /// Length of the fault in seconds.
     pub lasts: f64,
-    /// What it is.
+    /// Kind of the fault.
     #[serde(flatten)]
     pub kind: FaultKind,
 }
 
-/// What goes wrong.
+/// The kinds of fault.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// All requests come so many times as often.
+    /// All callers send more requests.
     Burst {
         /// Factor on all rates.
         factor: f64,
     },
-    /// Every server takes so many times as long, as where all have just started.
+    /// Every server takes longer, as when all have just started.
     Slow {
         /// Factor on all work.
         factor: f64,
     },
-    /// One server takes so many times as long.
+    /// One server takes longer.
     SlowServer {
-        /// Its place among all servers, in the order of the file.
+        /// Index of the server among all servers, in the order of the file.
         server: usize,
-        /// Factor on its work.
+        /// Factor on the work of each request on it.
         factor: f64,
     },
 }
 
 impl Scenario {
-    /// Gives the factor on the rates of all callers at a second.
+    /// Returns the factor on the rates of all callers at a second of the run.
     pub(crate) fn rate_factor(&self, second: f64) -> f64 {
-        self.factor(second, |kind| match kind {
+        self.active_factor(second, |kind| match kind {
             FaultKind::Burst { factor } => Some(factor),
             FaultKind::Slow { .. } | FaultKind::SlowServer { .. } => None,
         })
     }
 
-    /// Gives the factor on the work of a server at a second, by its place among all.
+    /// Returns the factor on the work of a server, given by its index, at a second of the run.
     pub(crate) fn work_factor(&self, server: usize, second: f64) -> f64 {
-        self.factor(second, |kind| match kind {
+        self.active_factor(second, |kind| match kind {
             FaultKind::Slow { factor } => Some(factor),
             FaultKind::SlowServer { server: slow, factor } if slow == server => Some(factor),
             FaultKind::SlowServer { .. } | FaultKind::Burst { .. } => None,
         })
     }
 
-    fn factor(&self, second: f64, of: impl Fn(FaultKind) -> Option<f64>) -> f64 {
-        let running =
+    /// Multiplies the factors that `factor_of` returns for the faults that are active at a second.
+    fn active_factor(&self, second: f64, factor_of: impl Fn(FaultKind) -> Option<f64>) -> f64 {
+        let active =
             self.faults.iter().filter(|fault| (fault.at..fault.at + fault.lasts).contains(&second));
-        running.filter_map(|fault| of(fault.kind)).product()
+        active.filter_map(|fault| factor_of(fault.kind)).product()
     }
 }
 
-/// A scenario that cannot be played.
+/// Why a scenario is rejected.
 #[derive(Debug, Error)]
 pub enum ScenarioError {
-    /// The text is no scenario.
-    #[error("scenario cannot be read: {0}")]
+    /// The text is not a scenario in TOML.
+    #[error("cannot parse the scenario: {0}")]
     Malformed(#[from] toml::de::Error),
-    /// A value is out of its bounds.
-    #[error("`{key}` of {place} is {found}; allowed: {allowed}")]
-    Bound {
-        /// Key.
+    /// A value is out of its range, or names a service or data centre without a server.
+    #[error("`{key}` of {entry} is {found}; allowed: {allowed}")]
+    InvalidValue {
+        /// Key of the value.
         key: &'static str,
-        /// Which entry.
-        place: String,
-        /// What stands there.
+        /// Entry that has the key.
+        entry: String,
+        /// Value found.
         found: String,
-        /// What may.
+        /// Values allowed.
         allowed: &'static str,
     },
 }
@@ -165,56 +170,63 @@
 /// Returns a [`ScenarioError`] that names the key and what is allowed.
 pub fn parse_scenario(text: &str) -> Result<Scenario, ScenarioError> {
     let scenario: Scenario = toml::from_str(text)?;
-    check_number("seconds", "the scenario", scenario.seconds, 1.0, 3600.0, "1 to 3600")?;
+    check_range("seconds", "the scenario", scenario.seconds, 1.0, 3600.0, "1 to 3600")?;
     let services: BTreeSet<&str> =
         scenario.servers.iter().map(|server| server.service.as_str()).collect();
     let centres: BTreeSet<&str> =
         scenario.servers.iter().map(|server| server.data_centre.as_str()).collect();
     for server in &scenario.servers {
-        check_number("count", &server.service, server.count as f64, 1.0, 1000.0, "1 to 1000")?;
-        check_number("slots", &server.service, server.slots.into(), 1.0, 1000.0, "1 to 1000")?;
-        check_number("slowness", &server.service, server.slowness, 0.01, 100.0, "0.01 to 100")?;
+        check_range("count", &server.service, server.count as f64, 1.0, 1000.0, "1 to 1000")?;
+        check_range("slots", &server.service, server.slots.into(), 1.0, 1000.0, "1 to 1000")?;
+        check_range("slowness", &server.service, server.slowness, 0.01, 100.0, "0.01 to 100")?;
     }
     for route in &scenario.routes {
         check_known("service", &route.name, &route.service, &services)?;
-        check_number("work_ms", &route.name, route.work_ms, 0.1, 60_000.0, "0.1 to 60000")?;
-        check_number("spread", &route.name, route.spread, 0.0, 10.0, "0 to 10")?;
-        check_number("weight", &route.name, route.weight, 0.0, 1e6, "0 to 1000000")?;
+        check_range("work_ms", &route.name, route.work_ms, 0.1, 60_000.0, "0.1 to 60000")?;
+        check_range("spread", &route.name, route.spread, 0.0, 10.0, "0 to 10")?;
+        check_range("weight", &route.name, route.weight, 0.0, 1e6, "0 to 1000000")?;
     }
     for load in &scenario.load {
-        // A caller enters by the daemon beside a server.
+        // Callers connect to daemons, and in a scenario each daemon stands beside a server.
         check_known("data_centre", "load", &load.data_centre, &centres)?;
-        check_number("rate", "load", load.rate, 0.0, 100_000.0, "0 to 100000")?;
+        check_range("rate", "load", load.rate, 0.0, 100_000.0, "0 to 100000")?;
     }
     Ok(scenario)
 }
 
-fn check_number(
+/// Rejects a number that is not within `min` and `max`; `allowed` states the range in words.
+fn check_range(
     key: &'static str,
-    place: &str,
+    entry: &str,
     found: f64,
-    least: f64,
-    most: f64,
+    min: f64,
+    max: f64,
     allowed: &'static str,
 ) -> Result<(), ScenarioError> {
-    match (least..=most).contains(&found) {
+    match (min..=max).contains(&found) {
         true => Ok(()),
-        false => Err(bound(key, place, &found.to_string(), allowed)),
+        false => Err(invalid_value(key, entry, &found.to_string(), allowed)),
     }
 }
 
+/// Rejects a service or data centre that no server of the scenario has.
 fn check_known(
     key: &'static str,
-    place: &str,
+    entry: &str,
     found: &str,
     known: &BTreeSet<&str>,
 ) -> Result<(), ScenarioError> {
     match known.contains(found) {
         true => Ok(()),
-        false => Err(bound(key, place, found, "one that a server has")),
+        false => Err(invalid_value(key, entry, found, "one that a server group has")),
     }
 }
 
-fn bound(key: &'static str, place: &str, found: &str, allowed: &'static str) -> ScenarioError {
-    ScenarioError::Bound { key, place: place.to_owned(), found: found.to_owned(), allowed }
+fn invalid_value(
+    key: &'static str,
+    entry: &str,
+    found: &str,
+    allowed: &'static str,
+) -> ScenarioError {
+    ScenarioError::InvalidValue { key, entry: entry.to_owned(), found: found.to_owned(), allowed }
 }
--- a/components/lab/tests/short_slots.rs
+++ b/components/lab/tests/short_slots.rs
@@ -1,4 +1,4 @@
-//! Data centres that are short of slots, and what leaves them.
+//! Data centres with too few slots, and the requests that leave them for another one.
 
 use expect_test::expect;
 use sk_decide::{
@@ -10,12 +10,12 @@
 
 const SCENARIO: &str = include_str!("../../../examples/lab/short-of-slots.toml");
 
-/// Seeds that are compared, few and short enough for each change of the code.
+/// Seeds that are compared, few enough to run on each change of the code.
 const SEEDS: std::ops::Range<u64> = 0..3;
 
-/// The first seconds of the scenario, with a part of its burst.
+/// Returns the first seconds of the scenario, which hold a part of its burst.
 fn scenario() -> Scenario {
-    Scenario { seconds: 9.0, ..parse_scenario(SCENARIO).expect("a scenario") }
+    Scenario { seconds: 9.0, ..parse_scenario(SCENARIO).expect("valid scenario") }
 }
 
 fn policy() -> LabPolicy {
@@ -36,38 +36,39 @@
     }
 }
 
-/// One seed gives one course, or two policies could not be compared on it.
+/// The same seed produces the same run; otherwise two policies could not be compared on it.
 #[test]
-fn same_course() {
-    let play = || run_scenario(&scenario(), &policy(), 7).to_string();
-    assert_eq!(play(), play());
+fn same_run() {
+    let run = || run_scenario(&scenario(), &policy(), 7).to_string();
+    assert_eq!(run(), run());
 }
 
-/// Uploads and alerts share servers. With one time for both, servers that just got uploads look too slow
-/// for alerts, which then cross to another data centre for nothing.
+/// Uploads and alerts share servers. If the placement keeps one work time for both, servers that
+/// just received uploads seem too slow for alerts, which then go to another data centre without
+/// need.
 #[test]
-fn kinds_apart() {
+fn work_times_by_kind() {
     let weights = PlacementWeights { by_work: false, ..PlacementWeights::default() };
     let placement = PlacementSettings { weights, ..policy().placement };
-    let pooled = LabPolicy { placement, ..policy() };
-    let [in_goal, _, megabytes] = compare_policies(&scenario(), [&pooled, &policy()], SEEDS);
+    let one_work_time = LabPolicy { placement, ..policy() };
+    let [in_goal, _, megabytes] = compare_policies(&scenario(), [&one_work_time, &policy()], SEEDS);
     expect!["in goal +0.0005, MB -1.9"]
         .assert_eq(&format!("in goal {:+.4}, MB {:+.1}", in_goal.mean, megabytes.mean));
-    // Half a point is what a seed differs by.
-    assert!(in_goal.mean > -0.005, "callers get no less");
-    assert!(megabytes.mean + megabytes.margin < 0.0, "and fewer bytes cross");
+    // Seeds differ by half a percentage point.
+    assert!(in_goal.mean > -0.005, "no fewer callers are answered within the goal");
+    assert!(megabytes.mean + megabytes.margin < 0.0, "fewer bytes go between data centres");
 }
 
-/// All servers near by are full for a moment. A request that may wait for it by its bytes stays, where
-/// each one crossed before, uploads too.
+/// All servers of the data centre are full for a moment. A request that is large enough to justify
+/// the wait for a slot stays; without this rule each one goes to another data centre, even uploads.
 #[test]
-fn near_wait() {
+fn waits_in_own_centre() {
     let placement = PlacementSettings { near_wait: Duration::ZERO, ..policy().placement };
-    let hasty = LabPolicy { placement, ..policy() };
-    let [in_goal, _, megabytes] = compare_policies(&scenario(), [&hasty, &policy()], SEEDS);
+    let without_wait = LabPolicy { placement, ..policy() };
+    let [in_goal, _, megabytes] = compare_policies(&scenario(), [&without_wait, &policy()], SEEDS);
     expect!["in goal -0.0008, MB -2.2"]
         .assert_eq(&format!("in goal {:+.4}, MB {:+.1}", in_goal.mean, megabytes.mean));
-    // Half a point is what a seed differs by.
-    assert!(in_goal.mean > -0.005, "callers get no less");
-    assert!(megabytes.mean + megabytes.margin < 0.0, "and fewer bytes cross");
+    // Seeds differ by half a percentage point.
+    assert!(in_goal.mean > -0.005, "no fewer callers are answered within the goal");
+    assert!(megabytes.mean + megabytes.margin < 0.0, "fewer bytes go between data centres");
 }
