--- a/components/measure/src/baseline.rs
+++ b/components/measure/src/baseline.rs
@@ -1,4 +1,5 @@
-//! What the simplest ways would cost: every daemon at the platform itself.
+//! Measures the simplest ways to distribute a configuration, for comparison: every daemon reads it
+//! from the platform itself.
 
 use std::{
     collections::BTreeMap,
@@ -14,42 +15,50 @@
 use sk_standin::{PlatformOptions, start_platform};
 use sk_store::{HttpStore, ObjectStore};
 
-use crate::config::{SERVICES, first_change, route_change};
+use crate::config::{SERVICE_COUNT, first_change, route_change};
 
+/// Time limit of one call to the platform.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-const RETRY_PAUSE: Duration = Duration::from_millis(500);
-const POLL_PERIOD: Duration = Duration::from_secs(2);
+/// Wait of a daemon after a failed call.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Wait of a polling daemon between two reads.
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
+/// Time after which a watch without a change ends and is begun again.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
-const BOUND: Duration = Duration::from_secs(60);
-const KEY: &str = "whole";
+/// Longest wait for all daemons to receive a change; a slower change counts as this long.
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Key of the object that contains the whole configuration.
+const CONFIG_KEY: &str = "whole";
 
-/// Which simple way.
+/// How the daemons of a baseline read the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum BaselineKind {
-    /// Every daemon reads the whole every two seconds.
+    /// Every daemon reads the whole configuration every two seconds.
     Poll,
-    /// Every daemon watches and then reads the whole.
+    /// Every daemon watches the configuration and receives the whole with each change.
     Watch,
 }
 
-/// Figures of a baseline.
+/// Results of a baseline.
 #[derive(Clone, Debug, Serialize)]
 pub struct BaselineFigures {
-    /// Which.
+    /// How the daemons read the configuration.
     pub kind: BaselineKind,
-    /// Daemons.
+    /// Number of daemons.
     pub daemons: usize,
-    /// Milliseconds until all held each change; a change that took over a minute counts as that.
+    /// Milliseconds until all daemons have each change; one that takes over a minute counts as a
+    /// minute.
     pub max_ms: Vec<u64>,
-    /// Bytes of values read per daemon and change.
+    /// Bytes of the values read, per daemon and change.
     pub change_bytes: f64,
     /// Calls to the platform in the whole run.
     pub calls: u64,
-    /// Calls refused over the platform's rate.
+    /// Calls refused because they exceed the platform's rate.
     pub refused: u64,
 }
 
-/// Measures a baseline: the whole configuration is one object, which every daemon reads itself.
+/// Measures a baseline: the whole configuration is one object, which each of `daemons` tasks reads
+/// from the platform's stand-in.
 ///
 /// # Errors
 ///
@@ -62,23 +71,23 @@
     let platform = start_platform(&PlatformOptions::default())?;
     let address = platform.address().to_string();
     let writer = HttpStore::new(&address, CALL_TIMEOUT);
-    let mut whole = WholeConfig::default();
-    (0..SERVICES).for_each(|index| whole.apply(&first_change(index)));
-    let mut revision = writer.create(KEY, whole.encode()?).await?;
+    let mut config = WholeConfig::default();
+    (0..SERVICE_COUNT).for_each(|index| config.apply(&first_change(index)));
+    let mut revision = writer.create(CONFIG_KEY, config.encode()?).await?;
     let bytes = Arc::new(AtomicU64::new(0));
     let versions: Vec<Arc<AtomicU64>> = (0..daemons).map(|_| Arc::default()).collect();
     let mut tasks = tokio::task::JoinSet::new();
     for version in &versions {
         let store = HttpStore::new(&address, CALL_TIMEOUT);
-        tasks.spawn(follow(kind, store, version.clone(), bytes.clone()));
+        tasks.spawn(follow_config(kind, store, version.clone(), bytes.clone()));
     }
-    wait_all(&versions, whole.version).await;
+    wait_all_versions(&versions, config.version).await;
     let (before, mut max_ms) = (bytes.load(Ordering::Relaxed), Vec::new());
     for round in 0..changes {
-        let index = round as usize % SERVICES;
-        whole.apply(&route_change(index, index as u64 + 1, round));
-        revision = writer.replace(KEY, revision, whole.encode()?).await?;
-        max_ms.push(wait_all(&versions, whole.version).await.as_millis() as u64);
+        let index = round as usize % SERVICE_COUNT;
+        config.apply(&route_change(index, index as u64 + 1, round));
+        revision = writer.replace(CONFIG_KEY, revision, config.encode()?).await?;
+        max_ms.push(wait_all_versions(&versions, config.version).await.as_millis() as u64);
     }
     let read = (bytes.load(Ordering::Relaxed) - before) as f64;
     tasks.shutdown().await;
@@ -94,7 +103,7 @@
     })
 }
 
-/// All settings as one value.
+/// All settings as one object.
 #[derive(Default, Serialize, Deserialize)]
 struct WholeConfig {
     version: u64,
@@ -117,8 +126,9 @@
     }
 }
 
-/// Follows the configuration as a simple daemon would, reading the whole each time.
-async fn follow(
+/// Follows the configuration as a simple daemon would, and reads the whole each time. Adds the
+/// bytes that it reads and stores the version that it has.
+async fn follow_config(
     kind: BaselineKind,
     store: HttpStore,
     version: Arc<AtomicU64>,
@@ -127,29 +137,31 @@
     let mut revision = 0;
     loop {
         let read = match kind {
-            BaselineKind::Poll => store.get(KEY).await,
-            BaselineKind::Watch => store.watch(KEY, revision, WATCH_TIMEOUT).await,
+            BaselineKind::Poll => store.get(CONFIG_KEY).await,
+            BaselineKind::Watch => store.watch(CONFIG_KEY, revision, WATCH_TIMEOUT).await,
         };
         match read {
             Ok(Some(object)) => {
                 revision = object.revision;
                 bytes.fetch_add(object.value.len() as u64, Ordering::Relaxed);
-                let whole: WholeConfig = serde_json::from_str(&object.value).unwrap_or_default();
-                version.store(whole.version, Ordering::Relaxed);
+                let config: WholeConfig = serde_json::from_str(&object.value).unwrap_or_default();
+                version.store(config.version, Ordering::Relaxed);
             }
             Ok(None) => (),
-            Err(_) => tokio::time::sleep(RETRY_PAUSE).await,
+            Err(_) => tokio::time::sleep(RETRY_DELAY).await,
         }
         if kind == BaselineKind::Poll {
-            tokio::time::sleep(POLL_PERIOD).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-async fn wait_all(versions: &[Arc<AtomicU64>], wanted: u64) -> Duration {
+/// Waits until all daemons have a version, at most [`CONVERGENCE_TIMEOUT`]. Returns the time that
+/// it took.
+async fn wait_all_versions(versions: &[Arc<AtomicU64>], expected: u64) -> Duration {
     let begin = Instant::now();
-    let holds = |version: &Arc<AtomicU64>| version.load(Ordering::Relaxed) >= wanted;
-    while !versions.iter().all(holds) && begin.elapsed() < BOUND {
+    let is_updated = |version: &Arc<AtomicU64>| version.load(Ordering::Relaxed) >= expected;
+    while !versions.iter().all(is_updated) && begin.elapsed() < CONVERGENCE_TIMEOUT {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
     begin.elapsed()
--- a/components/measure/src/claims.rs
+++ b/components/measure/src/claims.rs
@@ -1,4 +1,4 @@
-//! How many claims a second the platform's rate carries, for each way of claiming.
+//! Measures how many claims a second the platform's rate allows, for each method of claiming.
 
 use std::{
     sync::Arc,
@@ -12,38 +12,43 @@
 use sk_store::{HttpStore, SharedStore};
 use tokio::task::JoinSet;
 
+/// Time limit of one call to the platform.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Figures of one way at one offered rate.
+/// Results of one method at one offered rate.
 #[derive(Clone, Debug, Serialize)]
 pub struct ClaimFigures {
-    /// How claims are made.
-    pub way: &'static str,
+    /// Method of claiming.
+    #[serde(rename = "way")]
+    pub method: &'static str,
     /// Claims offered a second.
     pub offered: u64,
     /// Claims granted a second.
     pub granted: f64,
-    /// Claims refused because the platform was away or over its rate.
+    /// Claims not granted, as when the platform is unavailable or over its rate.
     pub refused: u64,
-    /// Time of half the granted claims, in milliseconds.
+    /// Median time of granted claims, in milliseconds.
     pub p50_ms: f64,
-    /// Time of 99 in 100 granted claims, in milliseconds.
+    /// 99th percentile of the time of granted claims, in milliseconds.
     pub p99_ms: f64,
-    /// Platform writes in the run.
+    /// Writes to the platform in the run.
     pub writes: u64,
-    /// Platform reads in the run.
+    /// Reads from the platform in the run.
     pub reads: u64,
 }
 
+/// A method of claiming.
 #[derive(Clone)]
-enum ClaimWay {
-    /// One object a key, created only if absent.
+enum ClaimMethod {
+    /// One object for each key, created only if absent.
     Object(SharedStore),
-    /// Groups committed to partition heads, by several daemons.
+    /// Groups of claims committed together to the partitions' heads, one claim book for each
+    /// daemon.
     Groups(Arc<Vec<ClaimBook>>),
 }
 
-/// Measures each way at the offered rates, over `seconds` each.
+/// Measures each method at the offered rates, in claims a second, for `seconds` each. `writers` is
+/// the number of daemons that claim in groups.
 ///
 /// # Errors
 ///
@@ -55,14 +60,16 @@
 ) -> anyhow::Result<Vec<ClaimFigures>> {
     let mut figures = Vec::new();
     for rate in rates {
-        figures.push(measure_way("an object a key", *rate, None, seconds).await?);
+        figures.push(measure_method("an object a key", *rate, None, seconds).await?);
         let name = if writers == 1 { "groups, one writer" } else { "groups, several writers" };
-        figures.push(measure_way(name, *rate, Some(writers), seconds).await?);
+        figures.push(measure_method(name, *rate, Some(writers), seconds).await?);
     }
     Ok(figures)
 }
 
-async fn measure_way(
+/// Measures one method at one rate: groups with a number of `writers`, otherwise one object for
+/// each key.
+async fn measure_method(
     name: &'static str,
     offered: u64,
     writers: Option<usize>,
@@ -72,16 +79,16 @@
     let address = platform.address().to_string();
     let store = || -> SharedStore { Arc::new(HttpStore::new(&address, CALL_TIMEOUT)) };
     let book = |_| ClaimBook::new(store(), ClaimSettings::default());
-    let way = match writers {
-        Some(count) => ClaimWay::Groups(Arc::new((0..count).map(book).collect())),
-        None => ClaimWay::Object(store()),
+    let method = match writers {
+        Some(count) => ClaimMethod::Groups(Arc::new((0..count).map(book).collect())),
+        None => ClaimMethod::Object(store()),
     };
     let begin = Instant::now();
     let mut tasks = JoinSet::new();
     let mut ticks = tokio::time::interval(Duration::from_nanos(1_000_000_000 / offered.max(1)));
     for number in 0..offered * seconds {
         ticks.tick().await;
-        tasks.spawn(claim(way.clone(), number));
+        tasks.spawn(claim(method.clone(), number));
     }
     let mut times = Histogram::<u64>::new(3)?;
     let mut refused = 0;
@@ -95,7 +102,7 @@
     let counts = platform.counts();
     platform.stop().await?;
     Ok(ClaimFigures {
-        way: name,
+        method: name,
         offered,
         granted: times.len() as f64 / elapsed,
         refused,
@@ -106,13 +113,13 @@
     })
 }
 
-/// Makes one claim and gives its time, or none where it was refused.
-async fn claim(way: ClaimWay, number: u64) -> Option<Duration> {
+/// Makes one claim. Returns the time that it took, none when it was not granted.
+async fn claim(method: ClaimMethod, number: u64) -> Option<Duration> {
     let key = claim_key("/measure/service", &number.to_string());
     let begin = Instant::now();
-    let is_granted = match way {
-        ClaimWay::Object(store) => store.create(&key, String::new()).await.is_ok(),
-        ClaimWay::Groups(books) => {
+    let is_granted = match method {
+        ClaimMethod::Object(store) => store.create(&key, String::new()).await.is_ok(),
+        ClaimMethod::Groups(books) => {
             let book = &books[number as usize % books.len()];
             book.claim(&key, number).await == Ok(ClaimVerdict::Granted)
         }
--- a/components/measure/src/client.rs
+++ b/components/measure/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to daemons' operators' interfaces.
+//! Client for the daemons' operators' interface and for the platform's stand-in.
 
 use std::time::Duration;
 
@@ -12,9 +12,10 @@
 };
 use serde::{Serialize, de::DeserializeOwned};
 
+/// Time limit of one call, the body of the answer included.
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A client with one token.
+/// Client that sends JSON and authenticates with one token.
 #[derive(Clone)]
 pub struct JsonClient {
     token: String,
@@ -22,27 +23,29 @@
 }
 
 impl JsonClient {
-    /// Makes a client.
+    /// Creates a client with the token that it sends.
     pub fn new(token: &str) -> Self {
         let client = Client::builder(TokioExecutor::new()).build_http();
         Self { token: token.to_owned(), client }
     }
 
-    /// Reads.
+    /// Reads a path and parses the answer's JSON.
     ///
     /// # Errors
     ///
-    /// Returns an error for anything but success.
+    /// Returns an error when the call fails, times out or is answered with another status than
+    /// success, or when the answer cannot be parsed.
     pub async fn get<T: DeserializeOwned>(&self, address: &str, path: &str) -> anyhow::Result<T> {
         let body = self.call(Method::GET, address, path, Bytes::new()).await?;
         Ok(serde_json::from_slice(&body)?)
     }
 
-    /// Writes and gives the answer's body.
+    /// Sends a body as JSON and returns the body of the answer.
     ///
     /// # Errors
     ///
-    /// Returns an error for anything but success.
+    /// Returns an error when the call fails, times out or is answered with another status than
+    /// success.
     pub async fn send<B: Serialize>(
         &self,
         method: Method,
@@ -53,6 +56,7 @@
         self.call(method, address, path, serde_json::to_vec(body)?.into()).await
     }
 
+    /// Sends a request with the token and returns the body of a successful answer.
     async fn call(
         &self,
         method: Method,
