--- a/components/standin/src/backend.rs
+++ b/components/standin/src/backend.rs
@@ -1,4 +1,5 @@
-//! A stand-in for a backend server: it announces itself to its daemon and answers requests.
+//! Stand-in for a backend server: announces itself to its daemon and answers requests, or fails as
+//! a request asks.
 
 use std::{
     net::SocketAddr,
@@ -27,47 +28,49 @@
 };
 
 use crate::{
-    backend_faults::{FaultError, RequestFault, RequestPlan},
-    backend_work::{
-        BackendBody, BackendCounts, BackendWork, cut_answer, large_answer, whole_answer, whole_body,
+    backend_activity::{
+        BackendActivity, BackendBody, BackendCounts, chunked_answer, cut_answer, full_body,
+        json_answer,
     },
+    backend_faults::{FaultError, RequestFault, RequestPlan},
 };
 
-/// Path of the stand-in's own counts.
+/// Path at which the stand-in answers with its counts.
 const COUNTS_PATH: &str = "/counts";
-/// Path of the load it reports.
+/// Path at which the stand-in reports its load.
 const LOAD_PATH: &str = "/load";
-/// Headers that a service copies into the calls it makes for a request.
+/// Headers that a service copies from a request into the calls that it makes for it.
 const CONTEXT_HEADERS: [&str; 3] =
     ["x-sapphirekeel-deadline-ms", "x-sapphirekeel-hops", "x-sapphirekeel-retried"];
 
-/// How the stand-in behaves.
+/// Behaviour of the stand-in.
 #[derive(Clone, Debug)]
 pub struct BackendOptions {
-    /// Address to listen at.
+    /// Address to listen on.
     pub address: SocketAddr,
-    /// Its daemon's address for operators and announcements.
+    /// Address of its daemon for operators and announcements.
     pub daemon: SocketAddr,
-    /// Service it runs.
+    /// Service that it runs.
     pub service: String,
     /// Identifier of this process.
     pub server: String,
-    /// Requests it works on at once.
+    /// Requests that it announces to run at once.
     pub slots: u32,
-    /// Work of each request.
+    /// Time that each request takes, unless the request asks for another.
     pub work: Duration,
     /// Time between announcements.
     pub announce_interval: Duration,
-    /// Connections it holds at once; more are closed unread.
+    /// Connections that it keeps open at once; further ones are closed unread.
     pub connections: u32,
-    /// Load it reports at `/load`, if it lies.
+    /// Load to report at `/load` instead of the real one.
     pub reported_load: Option<f64>,
-    /// Its daemon's address for callers, by which it makes nested calls.
+    /// Address of its daemon for callers, used for nested calls; without it none are made.
     pub proxy: Option<SocketAddr>,
 }
 
 impl BackendOptions {
-    /// Gives the options of a stand-in that works for a millisecond and has no faults.
+    /// Returns the options of a stand-in without faults that works on each request for a
+    /// millisecond.
     pub fn new(address: SocketAddr, daemon: SocketAddr, service: &str, server: &str) -> Self {
         Self {
             address,
@@ -84,14 +87,15 @@
     }
 }
 
+/// State that the stand-in's tasks share.
 struct BackendState {
     options: BackendOptions,
     address: SocketAddr,
-    work: Arc<BackendWork>,
+    activity: Arc<BackendActivity>,
     is_draining: AtomicBool,
 }
 
-/// A running stand-in.
+/// Running stand-in.
 pub struct BackendHandle {
     state: Arc<BackendState>,
     stop: watch::Sender<bool>,
@@ -107,51 +111,51 @@
     let listener =
         TcpListener::bind(options.address).await.context("cannot bind the backend server")?;
     let address = listener.local_addr()?;
-    let (work, is_draining) = (Arc::default(), AtomicBool::new(false));
-    let state = Arc::new(BackendState { options, address, work, is_draining });
+    let (activity, is_draining) = (Arc::default(), AtomicBool::new(false));
+    let state = Arc::new(BackendState { options, address, activity, is_draining });
     let stop = watch::Sender::new(false);
     let tasks = vec![
-        tokio::spawn(serve(listener, state.clone(), stop.subscribe())),
-        tokio::spawn(announce_forever(state.clone(), stop.subscribe())),
+        tokio::spawn(serve_connections(listener, state.clone(), stop.subscribe())),
+        tokio::spawn(announce_repeatedly(state.clone(), stop.subscribe())),
     ];
     Ok(BackendHandle { state, stop, tasks })
 }
 
 impl BackendHandle {
-    /// Gives the address it listens at.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.state.address
     }
 
-    /// Counts the requests that ran.
+    /// Returns the number of requests whose work was finished.
     pub fn served(&self) -> u64 {
-        self.state.work.counts().served
+        self.state.activity.counts().served
     }
 
-    /// Gives all counts.
+    /// Returns all counts.
     pub fn counts(&self) -> BackendCounts {
-        self.state.work.counts()
+        self.state.activity.counts()
     }
 
-    /// Waits until a request has crashed the stand-in. A process then exits.
+    /// Waits until a request crashes the stand-in. A process that runs one then exits.
     pub async fn crashed(&self) {
-        self.state.work.crashed().await;
+        self.state.activity.wait_crashed().await;
     }
 
-    /// Ends at once, as a killed process does: all connections break and no news is given. Returns
-    /// when nothing listens any more.
+    /// Ends at once, as a killed process does: all connections break and no drain is announced.
+    /// Returns once the stand-in has stopped listening.
     pub async fn kill(&mut self) {
-        self.state.work.crash();
+        self.state.activity.crash();
         for task in self.tasks.drain(..) {
             // A task that panicked has already printed why.
             let _ = task.await;
         }
     }
 
-    /// Says that it drains, lets the daemon finish what it has passed on, then stops.
+    /// Announces that it drains, finishes the requests on its connections, then stops.
     pub async fn stop(self) {
         self.state.is_draining.store(true, Ordering::SeqCst);
-        if let Err(err) = announce(&self.state).await {
+        if let Err(err) = send_announcement(&self.state).await {
             log::warn!("backend: cannot announce the drain: {err:#}.");
         }
         self.stop.send_replace(true);
@@ -162,24 +166,28 @@
     }
 }
 
-async fn serve(
+/// Accepts connections until the stand-in stops or crashes.
+async fn serve_connections(
     listener: TcpListener,
     state: Arc<BackendState>,
     mut stopped: watch::Receiver<bool>,
 ) {
     let graceful = GracefulShutdown::new();
-    // Dropped with this task, which ends all connections at once when the stand-in crashes.
+    // The set is dropped with this task, which ends all connections at once when the stand-in
+    // crashes.
     let mut connections = JoinSet::new();
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = state.work.crashed() => return,
+            () = state.activity.wait_crashed() => return,
             _ = stopped.wait_for(|stop| *stop) => break,
         };
         let Ok((stream, _)) = accepted else { continue };
-        let Some(open) = state.work.open_connection(state.options.connections) else { continue };
+        let Some(open) = state.activity.open_connection(state.options.connections) else {
+            continue;
+        };
         let state = state.clone();
-        let service = service_fn(move |request| respond(state.clone(), request));
+        let service = service_fn(move |request| answer_request(state.clone(), request));
         let server = auto::Builder::new(TokioExecutor::new());
         let connection = server.serve_connection(TokioIo::new(stream), service).into_owned();
         let connection = graceful.watch(connection);
@@ -193,59 +201,61 @@
     }
     tokio::select! {
         () = graceful.shutdown() => (),
-        () = state.work.crashed() => (),
+        () = state.activity.wait_crashed() => (),
     }
 }
 
-async fn respond(
+/// Answers a request for the counts or the load, or works on any other one.
+async fn answer_request(
     state: Arc<BackendState>,
     request: Request<Incoming>,
 ) -> Result<Response<BackendBody>, FaultError> {
-    let (options, work) = (&state.options, &state.work);
-    let plan = RequestPlan::read(request.uri());
+    let (options, activity) = (&state.options, &state.activity);
+    let plan = RequestPlan::from_uri(request.uri());
     match request.uri().path() {
-        COUNTS_PATH => Ok(whole_answer(&json!(work.counts()))),
+        COUNTS_PATH => Ok(json_answer(&json!(activity.counts()))),
         LOAD_PATH => {
-            let load = f64::from(work.running()) / f64::from(options.slots.max(1));
-            let shown = options.reported_load.unwrap_or(load);
-            Ok(whole_answer(&json!({ "load": shown })))
+            let load = f64::from(activity.running_count()) / f64::from(options.slots.max(1));
+            let reported = options.reported_load.unwrap_or(load);
+            Ok(json_answer(&json!({ "load": reported })))
         }
-        _ => work_on(&state, request, &plan).await,
+        _ => run_request(&state, request, &plan).await,
     }
 }
 
 /// Works on a request and answers with the service, the server and an echo of path and body, or
 /// fails as the request's plan says.
-async fn work_on(
+async fn run_request(
     state: &BackendState,
     request: Request<Incoming>,
     plan: &RequestPlan,
 ) -> Result<Response<BackendBody>, FaultError> {
-    let (options, work) = (&state.options, &state.work);
+    let (options, activity) = (&state.options, &state.activity);
     let path = request.uri().path().to_owned();
-    let running = work.start(plan.tag.as_deref());
+    let running = activity.begin_request(plan.tag.as_deref());
     let (parts, body) = request.into_parts();
     let body = body.collect().await.map_err(|_| FaultError::Dropped)?.to_bytes();
-    let time = plan.work.unwrap_or(options.work);
+    let work_time = plan.work.unwrap_or(options.work);
     if plan.fault == RequestFault::Crash {
-        // A task of its own, since the work that crashes goes on when the caller leaves.
-        let work = work.clone();
+        // The crash has a task of its own, since it has to come even when the caller closes the
+        // connection.
+        let activity = activity.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(time).await;
-            work.crash();
+            tokio::time::sleep(work_time).await;
+            activity.crash();
         });
         return std::future::pending().await;
     }
-    tokio::time::sleep(time).await;
+    tokio::time::sleep(work_time).await;
     match plan.fault {
         RequestFault::Drop => return Err(FaultError::Dropped),
         RequestFault::None | RequestFault::Cut | RequestFault::Crash => {}
     }
     if let Some(nested) = call_nested(options, &parts, plan).await? {
-        running.end();
+        running.finish();
         return Ok(nested);
     }
-    let count = running.end();
+    let count = running.finish();
     let answer = json!({
         "service": options.service,
         "server": options.server,
@@ -257,22 +267,24 @@
         "body": String::from_utf8_lossy(&body),
     });
     Ok(match plan {
-        RequestPlan { fault: RequestFault::Cut, .. } => cut_answer(plan.size),
-        RequestPlan { size: 0, .. } => whole_answer(&answer),
-        _ => large_answer(plan.size),
+        RequestPlan { fault: RequestFault::Cut, .. } => cut_answer(plan.answer_bytes),
+        RequestPlan { answer_bytes: 0, .. } => json_answer(&answer),
+        _ => chunked_answer(plan.answer_bytes),
     })
 }
 
-/// Calls the same path again through the daemon, as a service that calls another does.
+/// Calls the same path again through the daemon, as a service that calls another does. Returns the
+/// nested answer, none when the request asks for no nested call.
 async fn call_nested(
     options: &BackendOptions,
     parts: &http::request::Parts,
     plan: &RequestPlan,
 ) -> Result<Option<Response<BackendBody>>, FaultError> {
-    let (Some(proxy), Some(nest)) = (options.proxy, plan.nest.filter(|nest| *nest > 0)) else {
+    let (Some(proxy), Some(nesting)) = (options.proxy, plan.nesting.filter(|nesting| *nesting > 0))
+    else {
         return Ok(None);
     };
-    let uri = format!("http://{proxy}{}?nest={}", parts.uri.path(), nest - 1);
+    let uri = format!("http://{proxy}{}?nest={}", parts.uri.path(), nesting - 1);
     let mut request = Request::get(uri);
     for name in CONTEXT_HEADERS {
         if let Some(value) = parts.headers.get(name) {
@@ -284,25 +296,27 @@
     let response = client.request(request).await.map_err(|_| FaultError::Dropped)?;
     let (parts, body) = response.into_parts();
     let body = body.collect().await.map_err(|_| FaultError::Dropped)?.to_bytes();
-    let mut answer = Response::new(whole_body(body));
+    let mut answer = Response::new(full_body(body));
     *answer.status_mut() = parts.status;
     Ok(Some(answer))
 }
 
-async fn announce_forever(state: Arc<BackendState>, mut stopped: watch::Receiver<bool>) {
+/// Announces the server at its interval until the stand-in stops or crashes.
+async fn announce_repeatedly(state: Arc<BackendState>, mut stopped: watch::Receiver<bool>) {
     loop {
-        if let Err(err) = announce(&state).await {
+        if let Err(err) = send_announcement(&state).await {
             log::debug!("backend: cannot announce: {err:#}.");
         }
         tokio::select! {
             () = tokio::time::sleep(state.options.announce_interval) => (),
-            () = state.work.crashed() => return,
+            () = state.activity.wait_crashed() => return,
             _ = stopped.wait_for(|stop| *stop) => return,
         }
     }
 }
 
-async fn announce(state: &BackendState) -> anyhow::Result<()> {
+/// Announces the server to its daemon once, with its address, slots and whether it drains.
+async fn send_announcement(state: &BackendState) -> anyhow::Result<()> {
     let options = &state.options;
     let body = json!({
         "service": options.service,
@@ -315,7 +329,7 @@
         .header(http::header::CONTENT_TYPE, "application/json")
         .body(Full::<Bytes>::from(body.to_string()))?;
     let client = Client::builder(TokioExecutor::new()).build_http();
-    let response = client.request(request).await.context("daemon is away")?;
+    let response = client.request(request).await.context("cannot reach the daemon")?;
     anyhow::ensure!(response.status().is_success(), "daemon answered {}", response.status());
     Ok(())
 }
--- a/components/standin/src/backend_work.rs
+++ b/components/standin/src/backend_activity.rs
@@ -1,4 +1,4 @@
-//! What a backend server's stand-in counts, and the answers it gives.
+//! Counts of a backend server's stand-in, and the bodies of its answers.
 
 use std::{
     collections::BTreeMap,
@@ -15,56 +15,59 @@
 
 use crate::backend_faults::FaultError;
 
-/// Bytes of one chunk of a large answer.
+/// Bytes of one chunk of a chunked answer.
 const CHUNK_BYTES: usize = 16 * 1024;
 
 /// Body of the stand-in's answers.
 pub(crate) type BackendBody = BoxBody<Bytes, FaultError>;
 
-/// What the stand-in has counted.
+/// Counts since the stand-in started.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendCounts {
-    /// Requests that were worked on to their end.
+    /// Requests whose work was finished.
     pub served: u64,
-    /// Requests that were begun.
+    /// Requests whose work was begun.
     pub begun: u64,
-    /// Requests worked on now.
+    /// Requests being worked on now.
     pub running: u32,
-    /// Most requests worked on at once.
+    /// Most requests that were worked on at once.
     pub peak_running: u32,
-    /// Connections now.
+    /// Connections open now.
     pub connections: u32,
-    /// Most connections at once.
+    /// Most connections that were open at once.
     pub peak_connections: u32,
     /// Connections closed unread because there were too many.
     pub refused_connections: u64,
-    /// Times that a request with a `tag` was begun.
+    /// Number of times that a request was begun, by its `tag`.
     pub runs: BTreeMap<String, u64>,
 }
 
-/// The work of one stand-in.
+/// Activity of one stand-in: its counts, and whether it has crashed.
 #[derive(Default)]
-pub(crate) struct BackendWork {
+pub(crate) struct BackendActivity {
     counts: Mutex<BackendCounts>,
     has_crashed: watch::Sender<bool>,
 }
 
-/// A request being worked on. Dropped early when its connection ends.
-pub(crate) struct RunningRequest(Arc<BackendWork>);
+/// Request being worked on. It is dropped unfinished when its connection ends.
+pub(crate) struct RunningRequest(Arc<BackendActivity>);
 
-/// A connection that counts as open.
-pub(crate) struct OpenConnection(Arc<BackendWork>);
+/// Connection that counts as open until it is dropped.
+pub(crate) struct OpenConnection(Arc<BackendActivity>);
 
-impl BackendWork {
+impl BackendActivity {
+    /// Returns a copy of the counts.
     pub(crate) fn counts(&self) -> BackendCounts {
         self.lock().clone()
     }
 
-    pub(crate) fn running(&self) -> u32 {
+    /// Returns the number of requests being worked on.
+    pub(crate) fn running_count(&self) -> u32 {
         self.lock().running
     }
 
-    pub(crate) fn start(self: &Arc<Self>, tag: Option<&str>) -> RunningRequest {
+    /// Counts a request as begun and running, under its tag if it has one.
+    pub(crate) fn begin_request(self: &Arc<Self>, tag: Option<&str>) -> RunningRequest {
         let mut counts = self.lock();
         counts.begun += 1;
         counts.running += 1;
@@ -75,7 +78,7 @@
         RunningRequest(self.clone())
     }
 
-    /// Takes a connection, unless there are `limit`.
+    /// Counts a connection as open. Returns none when `limit` are open already.
     pub(crate) fn open_connection(self: &Arc<Self>, limit: u32) -> Option<OpenConnection> {
         let mut counts = self.lock();
         if counts.connections >= limit {
@@ -87,11 +90,13 @@
         Some(OpenConnection(self.clone()))
     }
 
+    /// Ends the stand-in and all its connections at once.
     pub(crate) fn crash(&self) {
         self.has_crashed.send_replace(true);
     }
 
-    pub(crate) async fn crashed(&self) {
+    /// Waits until the stand-in crashes.
+    pub(crate) async fn wait_crashed(&self) {
         // The sender is a part of this value, so the wait cannot fail.
         let _ = self.has_crashed.subscribe().wait_for(|crashed| *crashed).await;
     }
@@ -102,8 +107,8 @@
 }
 
 impl RunningRequest {
-    /// Ends the work and gives the number of requests served.
-    pub(crate) fn end(self) -> u64 {
+    /// Counts the request as served. Returns the number of requests served so far.
+    pub(crate) fn finish(self) -> u64 {
         let mut counts = self.0.lock();
         counts.served += 1;
         counts.served
@@ -122,23 +127,26 @@
     }
 }
 
-pub(crate) fn whole_body(bytes: Bytes) -> BackendBody {
+/// Creates a body of known length.
+pub(crate) fn full_body(bytes: Bytes) -> BackendBody {
     Full::new(bytes).map_err(|never| match never {}).boxed()
 }
 
-pub(crate) fn whole_answer(answer: &serde_json::Value) -> Response<BackendBody> {
-    Response::new(whole_body(Bytes::from(format!("{answer}\n"))))
+/// Creates an answer with a line of JSON.
+pub(crate) fn json_answer(answer: &serde_json::Value) -> Response<BackendBody> {
+    Response::new(full_body(Bytes::from(format!("{answer}\n"))))
 }
 
-/// Makes an answer of `size` bytes in chunks, without a length.
-pub(crate) fn large_answer(size: usize) -> Response<BackendBody> {
+/// Creates an answer of `size` bytes in chunks, without a `Content-Length`.
+pub(crate) fn chunked_answer(size: usize) -> Response<BackendBody> {
     Response::new(BodyExt::boxed(StreamBody::new(chunks(size))))
 }
 
-/// Makes an answer of about `size` bytes whose connection ends before its last chunk.
+/// Creates an answer of `size` bytes, at least one chunk, after which the connection breaks without
+/// the end of the body.
 pub(crate) fn cut_answer(size: usize) -> Response<BackendBody> {
     let cut = stream::once(async {
-        // Lets what was sent before arrive, so that the cut falls into the answer.
+        // Waits until the bytes before have arrived, so that the cut falls into the answer.
         tokio::time::sleep(std::time::Duration::from_millis(20)).await;
         Err(FaultError::Dropped)
     });
@@ -146,6 +154,7 @@
     Response::new(BodyExt::boxed(StreamBody::new(chunks)))
 }
 
+/// Splits a body of `size` bytes into chunks.
 fn chunks(size: usize) -> impl stream::Stream<Item = Result<Frame<Bytes>, FaultError>> {
     let full = std::iter::repeat_n(CHUNK_BYTES, size / CHUNK_BYTES);
     let sizes = full.chain(Some(size % CHUNK_BYTES).filter(|rest| *rest > 0));
--- a/components/standin/src/backend_faults.rs
+++ b/components/standin/src/backend_faults.rs
@@ -1,5 +1,5 @@
-//! Faults that a request asks of a backend server's stand-in, in its query:
-//! `work_ms`, `fault`, `size`, `nest` and `tag`.
+//! Behaviour that a request asks of a backend server's stand-in by its query: `work_ms`, `fault`,
+//! `size`, `nest` and `tag`.
 
 use std::time::Duration;
 
@@ -9,52 +9,52 @@
 /// How a request ends in the stand-in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum RequestFault {
-    /// With an answer.
+    /// The server answers.
     #[default]
     None,
-    /// The server ends at once, with all connections.
+    /// The server crashes after the work, and all its connections end.
     Crash,
-    /// The connection ends after half of the answer.
+    /// The connection ends before the end of the answer.
     Cut,
     /// The connection ends after the work and before the answer.
     Drop,
 }
 
-/// What a request asks of the stand-in.
+/// Behaviour that a request asks for.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct RequestPlan {
-    /// How it ends.
+    /// How the request ends.
     pub(crate) fault: RequestFault,
-    /// Work, if not the usual.
+    /// Time of the work, none for the server's usual one.
     pub(crate) work: Option<Duration>,
-    /// Bytes of the answer, zero for the usual one.
-    pub(crate) size: usize,
-    /// Further calls to make through the daemon, each by the one before.
-    pub(crate) nest: Option<u32>,
-    /// Name to count the runs of this request by.
+    /// Bytes of the answer, 0 for the usual one.
+    pub(crate) answer_bytes: usize,
+    /// Depth of nested calls: the server calls the same path through the daemon, and so on.
+    pub(crate) nesting: Option<u32>,
+    /// Name under which runs of this request are counted.
     pub(crate) tag: Option<String>,
 }
 
-/// Ends a connection without an answer.
+/// Error that ends a connection without a complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(crate) enum FaultError {
-    /// As the request asked.
-    #[error("connection dropped on request")]
+    /// The request asked for it, or its body or a nested call failed.
+    #[error("connection dropped before the end of the answer")]
     Dropped,
 }
 
 impl RequestPlan {
-    /// Reads the plan from a request's target. What cannot be read counts as not asked.
-    pub(crate) fn read(uri: &Uri) -> Self {
+    /// Parses the query of a request's URI. Values that cannot be parsed are ignored.
+    pub(crate) fn from_uri(uri: &Uri) -> Self {
         let mut plan = Self::default();
         let pairs = uri.query().unwrap_or("").split('&').filter_map(|pair| pair.split_once('='));
         for (name, value) in pairs {
             match name {
                 "work_ms" => plan.work = value.parse().ok().map(Duration::from_millis),
-                "size" => plan.size = value.parse().unwrap_or(0),
-                "nest" => plan.nest = value.parse().ok(),
+                "size" => plan.answer_bytes = value.parse().unwrap_or(0),
+                "nest" => plan.nesting = value.parse().ok(),
                 "tag" => plan.tag = Some(value.to_owned()),
-                "fault" => plan.fault = read_fault(value),
+                "fault" => plan.fault = parse_fault(value),
                 _ => {}
             }
         }
@@ -62,7 +62,8 @@
     }
 }
 
-fn read_fault(value: &str) -> RequestFault {
+/// Parses the value of `fault`; an unknown one counts as no fault.
+fn parse_fault(value: &str) -> RequestFault {
     match value {
         "crash" => RequestFault::Crash,
         "cut" => RequestFault::Cut,
--- a/components/standin/src/faults.rs
+++ b/components/standin/src/faults.rs
@@ -1,18 +1,18 @@
-//! Switches for the platform's faults.
+//! Faults that the platform's stand-in can be set to.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// Faults in force. All are off by default.
+/// Faults of the platform's stand-in. All are off by default.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct PlatformFaults {
     /// Whether every call is answered with 503.
     pub is_down: bool,
-    /// Milliseconds added to each call.
+    /// Milliseconds by which each call is delayed.
     pub delay_ms: u64,
-    /// Writes still to come whose answer is dropped after they took effect.
+    /// Number of next writes that take effect but are answered with an error.
     pub lose_write_answers: u32,
-    /// Milliseconds that watch events come late.
+    /// Milliseconds by which the answers of watches are delayed.
     pub watch_delay_ms: u64,
 }
--- a/components/standin/src/platform.rs
+++ b/components/standin/src/platform.rs
@@ -1,4 +1,5 @@
-//! A stand-in for the platform's object API over HTTP.
+//! Stand-in for the platform's object API over HTTP, with the platform's rate limits and with
+//! faults that can be set over HTTP too.
 
 use std::{
     net::SocketAddr,
@@ -24,60 +25,63 @@
 
 use crate::{faults::PlatformFaults, rate::RateLimit};
 
-/// JSON escapes can double a value's size on the wire, and more for control characters.
+/// Longest body of a request in bytes. JSON escapes can double a value's size, or more for control
+/// characters.
 const MAX_BODY_BYTES: usize = 8_000_000;
 
-/// How the stand-in behaves.
+/// Behaviour of the stand-in.
 #[derive(Clone, Debug)]
 pub struct PlatformOptions {
-    /// Address to listen at.
+    /// Address to listen on.
     pub address: SocketAddr,
-    /// Writes a second before it answers 429.
+    /// Writes a second; it answers further ones with 429.
     pub writes_per_second: f64,
-    /// Reads a second, a watch counted as one, before it answers 429.
+    /// Reads a second, with each watch counted as one; it answers further ones with 429.
     pub reads_per_second: f64,
 }
 
 impl Default for PlatformOptions {
     fn default() -> Self {
         let address = SocketAddr::from(([127, 0, 0, 1], 0));
-        // The brief: several hundred writes and about two thousand reads a second.
+        // The platform allows several hundred writes and about two thousand reads a second.
         Self { address, writes_per_second: 400.0, reads_per_second: 2_000.0 }
     }
 }
 
-/// Calls counted since the start.
+/// Numbers of calls since the start, refused ones included.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct PlatformCounts {
     /// Reads and lists.
     pub reads: u64,
-    /// Watches begun.
+    /// Watches.
     pub watches: u64,
     /// Writes and deletes.
     pub writes: u64,
-    /// Calls answered 429.
+    /// Calls of any kind answered with 429.
     pub refused: u64,
 }
 
+/// Counters behind [`PlatformCounts`].
 #[derive(Default)]
-struct PlatformMeter {
+struct PlatformCounters {
     reads: AtomicU64,
     watches: AtomicU64,
     writes: AtomicU64,
     refused: AtomicU64,
 }
 
+/// State that the handlers share.
 struct PlatformContext {
     store: FakeStore,
     faults: Mutex<PlatformFaults>,
-    writes: RateLimit,
-    reads: RateLimit,
-    meter: PlatformMeter,
-    /// Ends waiting watches at a stop, which would otherwise wait for their timeouts.
+    write_limit: RateLimit,
+    read_limit: RateLimit,
+    counters: PlatformCounters,
+    /// Ends watches when the stand-in stops, which would otherwise wait for their timeouts.
     stopping: tokio::sync::watch::Sender<bool>,
 }
 
-/// A running stand-in.
+/// Running stand-in.
 pub struct PlatformHandle {
     server: HttpServer<Arc<PlatformContext>>,
     context: Arc<PlatformContext>,
@@ -92,9 +96,9 @@
     let context = Arc::new(PlatformContext {
         store: FakeStore::new(),
         faults: Mutex::default(),
-        writes: RateLimit::new(options.writes_per_second),
-        reads: RateLimit::new(options.reads_per_second),
-        meter: PlatformMeter::default(),
+        write_limit: RateLimit::new(options.writes_per_second),
+        read_limit: RateLimit::new(options.reads_per_second),
+        counters: PlatformCounters::default(),
         stopping: tokio::sync::watch::Sender::new(false),
     });
     let config = ConfigDropshot {
@@ -111,17 +115,17 @@
 }
 
 impl PlatformHandle {
-    /// Gives the address it listens at.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.local_addr()
     }
 
-    /// Reads the counters.
+    /// Returns the numbers of calls since the start.
     pub fn counts(&self) -> PlatformCounts {
-        self.context.meter.counts()
+        self.context.counters.counts()
     }
 
-    /// Sets the faults in force.
+    /// Replaces the faults.
     pub fn set_faults(&self, faults: PlatformFaults) {
         *self.context.faults() = faults;
     }
@@ -130,14 +134,14 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the server failed.
+    /// Returns an error when the server cannot stop cleanly.
     pub async fn stop(self) -> anyhow::Result<()> {
         self.context.stopping.send_replace(true);
         self.server.close().await.map_err(|reason| anyhow::anyhow!(reason))
     }
 }
 
-impl PlatformMeter {
+impl PlatformCounters {
     fn counts(&self) -> PlatformCounts {
         PlatformCounts {
             reads: self.reads.load(Ordering::Relaxed),
@@ -148,6 +152,7 @@
     }
 }
 
+/// Registers all endpoints.
 fn describe_api() -> anyhow::Result<ApiDescription<Arc<PlatformContext>>> {
     let mut api = ApiDescription::new();
     api.register(get_object)?;
@@ -165,15 +170,16 @@
         self.faults.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts a call against its rate and lets the faults in force have their way.
-    async fn admit(&self, counter: &AtomicU64, rate: &RateLimit) -> Result<(), StoreError> {
+    /// Counts a call and applies the outage, the rate limit and the delay. Returns an error for a
+    /// call that must not reach the store.
+    async fn admit(&self, counter: &AtomicU64, limit: &RateLimit) -> Result<(), StoreError> {
         counter.fetch_add(1, Ordering::Relaxed);
         let faults = self.faults().clone();
         if faults.is_down {
             return Err(StoreError::Unavailable { reason: "outage".to_owned() });
         }
-        if !rate.take() {
-            self.meter.refused.fetch_add(1, Ordering::Relaxed);
+        if !limit.try_take() {
+            self.counters.refused.fetch_add(1, Ordering::Relaxed);
             return Err(StoreError::Throttled { retry_after: Duration::from_secs(1) });
         }
         if faults.delay_ms > 0 {
@@ -182,13 +188,15 @@
         Ok(())
     }
 
-    fn is_answer_lost(&self) -> bool {
+    /// Returns whether the answer of the present write is to be lost, and counts it if so.
+    fn lose_answer(&self) -> bool {
         let mut faults = self.faults();
         let is_lost = faults.lose_write_answers > 0;
         faults.lose_write_answers = faults.lose_write_answers.saturating_sub(1);
         is_lost
     }
 
+    /// Waits until an object changes, the timeout passes or the stand-in stops.
     async fn watch(
         &self,
         key: &str,
@@ -199,18 +207,19 @@
         tokio::select! {
             object = self.store.watch(key, after, timeout) => object,
             _ = stopping.wait_for(|stopping| *stopping) => {
-                Err(StoreError::Unavailable { reason: "platform stops".to_owned() })
+                Err(StoreError::Unavailable { reason: "the stand-in is stopping".to_owned() })
             }
         }
     }
 
+    /// Creates or replaces an object, as the body's expected revision says.
     async fn write(&self, body: PutBody) -> Result<WriteAnswer, StoreError> {
-        self.admit(&self.meter.writes, &self.writes).await?;
+        self.admit(&self.counters.writes, &self.write_limit).await?;
         let revision = match body.expected {
             None => self.store.create(&body.key, body.value).await?,
             Some(expected) => self.store.replace(&body.key, expected, body.value).await?,
         };
-        if self.is_answer_lost() {
+        if self.lose_answer() {
             return Err(StoreError::Unknown { reason: "answer lost".to_owned() });
         }
         Ok(WriteAnswer { revision })
@@ -247,24 +256,26 @@
     timeout_ms: u64,
 }
 
+/// Context of a request to the stand-in.
 type PlatformRequest = RequestContext<Arc<PlatformContext>>;
+/// Response built without dropshot's types, with the protocol's own statuses and bodies.
 type RawResponse = Result<Response<Body>, HttpError>;
 
 /// Reads one object.
 #[endpoint { method = GET, path = "/v1/object" }]
 async fn get_object(request: PlatformRequest, query: Query<KeyQuery>) -> RawResponse {
     let context = request.context();
-    let result = match context.admit(&context.meter.reads, &context.reads).await {
+    let result = match context.admit(&context.counters.reads, &context.read_limit).await {
         Ok(()) => context.store.get(&query.into_inner().key).await,
         Err(err) => Err(err),
     };
-    answer(result.map(|object| object.ok_or(StatusCode::NOT_FOUND)))
+    build_response(result.map(|object| object.ok_or(StatusCode::NOT_FOUND)))
 }
 
 /// Creates or replaces one object.
 #[endpoint { method = PUT, path = "/v1/object" }]
 async fn put_object(request: PlatformRequest, body: TypedBody<PutBody>) -> RawResponse {
-    answer(request.context().write(body.into_inner()).await.map(Ok))
+    build_response(request.context().write(body.into_inner()).await.map(Ok))
 }
 
 /// Deletes one object.
@@ -272,22 +283,22 @@
 async fn delete_object(request: PlatformRequest, query: Query<DeleteQuery>) -> RawResponse {
     let context = request.context();
     let query = query.into_inner();
-    let result = match context.admit(&context.meter.writes, &context.writes).await {
+    let result = match context.admit(&context.counters.writes, &context.write_limit).await {
         Ok(()) => context.store.delete(&query.key, query.expected).await,
         Err(err) => Err(err),
     };
-    answer(result.map(Ok))
+    build_response(result.map(Ok))
 }
 
 /// Lists objects by prefix.
 #[endpoint { method = GET, path = "/v1/objects" }]
 async fn list_objects(request: PlatformRequest, query: Query<ListQuery>) -> RawResponse {
     let context = request.context();
-    let result = match context.admit(&context.meter.reads, &context.reads).await {
+    let result = match context.admit(&context.counters.reads, &context.read_limit).await {
         Ok(()) => context.store.list(&query.into_inner().prefix).await,
         Err(err) => Err(err),
     };
-    answer(result.map(|objects| Ok(ListAnswer { objects })))
+    build_response(result.map(|objects| Ok(ListAnswer { objects })))
 }
 
 /// Waits until an object changes.
@@ -296,13 +307,13 @@
     let context = request.context();
     let query = query.into_inner();
     let timeout = Duration::from_millis(query.timeout_ms);
-    let result = match context.admit(&context.meter.watches, &context.reads).await {
+    let result = match context.admit(&context.counters.watches, &context.read_limit).await {
         Ok(()) => context.watch(&query.key, query.after, timeout).await,
         Err(err) => Err(err),
     };
-    let late_ms = context.faults().watch_delay_ms;
-    tokio::time::sleep(Duration::from_millis(late_ms)).await;
-    answer(result.map(|object| object.ok_or(StatusCode::NO_CONTENT)))
+    let delay_ms = context.faults().watch_delay_ms;
+    tokio::time::sleep(Duration::from_millis(delay_ms)).await;
+    build_response(result.map(|object| object.ok_or(StatusCode::NO_CONTENT)))
 }
 
 /// Sets the faults in force.
@@ -318,17 +329,18 @@
 /// Reads the counters.
 #[endpoint { method = GET, path = "/v1/counts" }]
 async fn get_counts(request: PlatformRequest) -> Result<HttpResponseOk<PlatformCounts>, HttpError> {
-    Ok(HttpResponseOk(request.context().meter.counts()))
+    Ok(HttpResponseOk(request.context().counters.counts()))
 }
 
-/// Turns a result into the protocol's answer; an inner status stands for an answer without body.
-fn answer<T: Serialize>(result: Result<Result<T, StatusCode>, StoreError>) -> RawResponse {
+/// Converts a result into the protocol's response. An inner status becomes a response without a
+/// body.
+fn build_response<T: Serialize>(result: Result<Result<T, StatusCode>, StoreError>) -> RawResponse {
     let builder = Response::builder();
     let response = match result {
-        Ok(Ok(body)) => return json(StatusCode::OK, &body),
+        Ok(Ok(body)) => return json_response(StatusCode::OK, &body),
         Ok(Err(status)) => builder.status(status),
         Err(StoreError::Conflict { found, .. }) => {
-            return json(StatusCode::CONFLICT, &ConflictAnswer { found });
+            return json_response(StatusCode::CONFLICT, &ConflictAnswer { found });
         }
         Err(StoreError::Throttled { retry_after }) => builder
             .status(StatusCode::TOO_MANY_REQUESTS)
@@ -342,7 +354,8 @@
     response.body(Body::empty()).map_err(|err| HttpError::for_internal_error(err.to_string()))
 }
 
-fn json<T: Serialize>(status: StatusCode, body: &T) -> RawResponse {
+/// Creates a response with a JSON body.
+fn json_response<T: Serialize>(status: StatusCode, body: &T) -> RawResponse {
     let body =
         serde_json::to_vec(body).map_err(|err| HttpError::for_internal_error(err.to_string()))?;
     Response::builder()
