--- a/src/bin/sapphirekeeld.rs
+++ b/src/bin/sapphirekeeld.rs
@@ -1,4 +1,5 @@
-//! The daemon: `sapphirekeeld SETTINGS.toml`.
+//! The daemon as a process: `sapphirekeeld SETTINGS.toml`. Prints its addresses once it listens,
+//! reloads changed settings and drains requests before it exits on SIGTERM or SIGINT.
 
 use std::{
     fs,
@@ -13,12 +14,12 @@
 use sk_settings::{DaemonSettings, read_settings};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Time between looks whether the settings have changed without a signal. A look reads one small
-/// file.
-const LOOK_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval at which the settings file is checked for changes made without a signal. A check reads
+/// one small file.
+const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time for calls that block a thread to end after a stop. All requests are answered by then.
-const RUNTIME_STOP: Duration = Duration::from_millis(50);
+/// Longest wait for blocking calls to end after a stop. All requests are answered by then.
+const RUNTIME_STOP_TIMEOUT: Duration = Duration::from_millis(50);
 
 #[derive(Debug, Options)]
 struct DaemonArgs {
@@ -34,7 +35,7 @@
     let settings = read_settings(&args.settings)?;
     let limits =
         LineLimits { routine: settings.logs.routine_lines, failures: settings.logs.failure_lines };
-    // Kept to the end: dropping it writes the last lines.
+    // Dropping it writes the last lines, so it lives until the process exits.
     let _logs = start_logs(limits)?;
     let mut runtime = tokio::runtime::Builder::new_multi_thread();
     runtime.enable_all();
@@ -42,15 +43,20 @@
         runtime.worker_threads(settings.instance.threads);
     }
     let runtime = runtime.build()?;
-    let result = runtime.block_on(run(&args.settings, settings));
-    runtime.shutdown_timeout(RUNTIME_STOP);
+    let result = runtime.block_on(run_daemon(&args.settings, settings));
+    runtime.shutdown_timeout(RUNTIME_STOP_TIMEOUT);
     result
 }
 
-async fn run(file: &Path, settings: DaemonSettings) -> anyhow::Result<()> {
+/// Runs the daemon until a signal or a failed component ends it.
+///
+/// # Errors
+///
+/// Returns an error if the daemon cannot start, if a component failed, or if requests were cut off.
+async fn run_daemon(file: &Path, settings: DaemonSettings) -> anyhow::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
-    // Without a handler the signal ends the process, and with it all requests in flight.
+    // Without a handler SIGHUP would end the process and all requests in flight.
     let hangup = signal(SignalKind::hangup())?;
     let daemon = start_daemon(&settings).await.context("cannot start the daemon")?;
     let addresses = daemon.addresses();
@@ -66,28 +72,30 @@
     };
     let is_clean = daemon.stop().await;
     log::info!(is_clean, has_failed; "daemon: stopped.");
-    anyhow::ensure!(!has_failed, "a part failed; the daemon has to be started again");
-    anyhow::ensure!(is_clean, "requests in flight did not end within the bound");
+    anyhow::ensure!(!has_failed, "a component failed; restart the daemon");
+    anyhow::ensure!(is_clean, "requests in flight did not end within the drain time");
     Ok(())
 }
 
-/// Reads the settings again on a signal, or when the file has changed without one. A file that is
-/// at fault changes nothing.
+/// Reloads the settings on SIGHUP, or when the file has changed without one. An invalid file is
+/// logged and changes nothing. Never returns.
 async fn follow_settings(daemon: &DaemonHandle, file: &Path, mut hangup: Signal) {
-    let mut known = fs::read(file).ok();
+    let mut last_bytes = fs::read(file).ok();
     loop {
         let is_signalled = tokio::select! {
             _ = hangup.recv() => true,
-            () = tokio::time::sleep(LOOK_INTERVAL) => false,
+            () = tokio::time::sleep(SETTINGS_CHECK_INTERVAL) => false,
         };
-        let found = fs::read(file).ok();
-        if found == known && !is_signalled {
+        let bytes = fs::read(file).ok();
+        if bytes == last_bytes && !is_signalled {
             continue;
         }
-        known = found;
+        last_bytes = bytes;
         match read_settings(file) {
             Ok(settings) => daemon.reload(&settings),
-            Err(err) => log::error!("daemon: settings are kept as they were: {err}."),
+            Err(err) => {
+                log::error!("daemon: new settings are invalid, the old ones stay in effect: {err}.")
+            }
         }
     }
 }
--- a/src/bin/sk-backend.rs
+++ b/src/bin/sk-backend.rs
@@ -1,4 +1,5 @@
-//! A backend server's stand-in as a process. Prints its address and drains on SIGTERM.
+//! A simulated backend server as a process. Prints its address once it listens and drains on
+//! SIGTERM.
 
 use std::time::Duration;
 
@@ -6,8 +7,8 @@
 use sk_standin::{BackendOptions, start_backend};
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Exit code after a request that crashes the stand-in.
-const CRASH_CODE: i32 = 101;
+/// Exit code after a request that crashes the simulated server.
+const CRASH_EXIT_CODE: i32 = 101;
 
 #[derive(Debug, Options)]
 struct BackendArgs {
@@ -16,7 +17,7 @@
     /// Address to listen at
     #[options(default = "127.0.0.1:0")]
     address: String,
-    /// The daemon's address for announcements
+    /// The daemon's ops address, for announcements
     #[options(required)]
     daemon: String,
     /// Service the server runs
@@ -25,18 +26,18 @@
     /// Identifier of this process
     #[options(required)]
     server: String,
-    /// Requests worked on at once
+    /// Requests processed at once
     #[options(default = "12")]
     slots: u32,
     /// Milliseconds of work a request takes
     #[options(default = "1")]
     work_ms: u64,
-    /// Connections held at once; more are closed unread
+    /// Open connections at once; more are closed unread
     #[options(default = "100")]
     connections: u32,
-    /// Load reported at /load, if it is to lie
+    /// Load reported at /load in place of the actual one
     reported_load: Option<f64>,
-    /// The daemon's address for callers, for nested calls
+    /// The daemon's proxy address, for nested calls
     proxy: Option<String>,
 }
 
@@ -62,7 +63,7 @@
     println!("backend {}", backend.address());
     tokio::select! {
         _ = terminate.recv() => (),
-        () = backend.crashed() => std::process::exit(CRASH_CODE),
+        () = backend.crashed() => std::process::exit(CRASH_EXIT_CODE),
     }
     let served = backend.served();
     backend.stop().await;
--- a/src/bin/sk-lab.rs
+++ b/src/bin/sk-lab.rs
@@ -1,4 +1,5 @@
-//! What settings would do to a fleet, computed and not played.
+//! Simulates how a fleet would perform with a daemon's settings. Nothing is started, so settings
+//! can be compared before they reach a fleet.
 
 use std::{fs, path::Path};
 
@@ -17,9 +18,9 @@
 
 #[derive(Debug, Options)]
 enum LabCommand {
-    /// What callers get with a daemon's settings
+    /// Simulate what callers get with a daemon's settings
     Run(RunArgs),
-    /// Two settings on the same seeds
+    /// Compare two daemons' settings on the same seeds
     Compare(CompareArgs),
 }
 
@@ -27,10 +28,10 @@
 struct RunArgs {
     /// Print this help
     help: bool,
-    /// Scenario
+    /// Scenario file
     #[options(free, required)]
     scenario: String,
-    /// Settings of a daemon
+    /// Settings file of a daemon
     #[options(required)]
     with: String,
     /// Seeds, from 0 on
@@ -42,10 +43,10 @@
 struct CompareArgs {
     /// Print this help
     help: bool,
-    /// Scenario
+    /// Scenario file
     #[options(free, required)]
     scenario: String,
-    /// Settings of a daemon, given twice: what they are compared with, then what is tried
+    /// Settings files of a daemon, given twice: the baseline, then the candidate
     with: Vec<String>,
     /// Seeds, from 0 on
     #[options(default = "20")]
@@ -74,9 +75,11 @@
     };
     let (first, second) = (read_policy(first)?, read_policy(second)?);
     let scenario = read_scenario(&args.scenario)?;
-    let found = compare_policies(&scenario, [&first, &second], 0..args.seeds);
-    for (name, one) in ["in goal", "answered", "MB between data centres"].iter().zip(found) {
-        println!("{name}: {:+.4} ± {:.4}", one.mean, one.margin);
+    let differences = compare_policies(&scenario, [&first, &second], 0..args.seeds);
+    for (name, difference) in
+        ["in goal", "answered", "MB between data centres"].iter().zip(differences)
+    {
+        println!("{name}: {:+.4} ± {:.4}", difference.mean, difference.margin);
     }
     Ok(())
 }
@@ -86,6 +89,7 @@
     parse_scenario(&text).with_context(|| file.to_owned())
 }
 
+/// Reads the part of a daemon's settings that the simulation uses.
 fn read_policy(file: &str) -> anyhow::Result<LabPolicy> {
     let settings = sk_settings::read_settings(Path::new(file))?;
     let tuning = table_tuning(&settings);
--- a/src/bin/sk-measure.rs
+++ b/src/bin/sk-measure.rs
@@ -1,4 +1,4 @@
-//! Measurements on one machine. Prints a JSON line for each result.
+//! Measures a fleet on one machine. Prints each result as one line of JSON.
 
 use std::time::Duration;
 
@@ -19,11 +19,11 @@
 
 #[derive(Debug, Options)]
 enum MeasureCommand {
-    /// Configuration against the fleet's size, with the baselines
+    /// Distribution of configuration by fleet size, with the baselines
     Spread(SpreadArgs),
-    /// Time until all daemons know of a start, a drain and a crash
+    /// Time until all daemons have learned of a start, a drain and a crash
     Members(MemberArgs),
-    /// The request path against a direct call
+    /// The request path compared with a direct call
     Load(LoadArgs),
     /// Claims of requests that may not be repeated
     Claims(ClaimArgs),
@@ -36,7 +36,7 @@
     /// Fleet sizes
     #[options(default = "10,50")]
     daemons: String,
-    /// One-route changes of each fleet
+    /// Changes of one route for each fleet size
     #[options(default = "10")]
     changes: u64,
     /// Seconds without changes for idle figures
@@ -45,7 +45,7 @@
     /// Further settings in TOML
     #[options(default = "")]
     settings: String,
-    /// Leave the baselines out
+    /// Skip the baselines
     #[options(no_short)]
     no_baseline: bool,
 }
@@ -57,7 +57,7 @@
     /// Fleet sizes
     #[options(default = "10,50")]
     daemons: String,
-    /// Starts, drains and crashes of each fleet
+    /// Starts, drains and crashes for each fleet size
     #[options(default = "5")]
     rounds: usize,
 }
@@ -66,19 +66,19 @@
 struct LoadArgs {
     /// Print this help
     help: bool,
-    /// Requests a second, a run each
+    /// Requests a second, one run for each
     #[options(default = "500,1000,2000")]
     rates: String,
     /// Seconds of each run
     #[options(default = "10")]
     seconds: u64,
-    /// Milliseconds of the backend servers' work
+    /// Milliseconds of work a request takes at a backend server
     #[options(default = "1")]
     work_ms: u64,
     /// Backend servers
     #[options(default = "3")]
     servers: usize,
-    /// Idle connections of callers to measure memory with
+    /// Idle caller connections for the measurement of memory
     #[options(no_short, default = "1000")]
     connections: usize,
 }
@@ -87,13 +87,13 @@
 struct ClaimArgs {
     /// Print this help
     help: bool,
-    /// Claims a second, a run each
+    /// Claims a second, one run for each
     #[options(default = "100,300,600,2000")]
     rates: String,
     /// Seconds of each run
     #[options(default = "5")]
     seconds: u64,
-    /// Daemons that claim
+    /// Daemons that write claims
     #[options(default = "1")]
     writers: usize,
 }
@@ -103,65 +103,66 @@
     env_logger::init();
     let args = MeasureArgs::parse_args_default_or_exit();
     match args.command {
-        Some(MeasureCommand::Spread(args)) => spread(&args).await,
-        Some(MeasureCommand::Members(args)) => members(&args).await,
-        Some(MeasureCommand::Load(args)) => load(&args).await,
-        Some(MeasureCommand::Claims(args)) => claims(&args).await,
+        Some(MeasureCommand::Spread(args)) => run_spread(&args).await,
+        Some(MeasureCommand::Members(args)) => run_members(&args).await,
+        Some(MeasureCommand::Load(args)) => run_load(&args).await,
+        Some(MeasureCommand::Claims(args)) => run_claims(&args).await,
         None => anyhow::bail!("{}", MeasureArgs::command_list().unwrap_or_default()),
     }
 }
 
-async fn spread(args: &SpreadArgs) -> anyhow::Result<()> {
-    for daemons in numbers(&args.daemons)? {
+async fn run_spread(args: &SpreadArgs) -> anyhow::Result<()> {
+    for daemons in parse_numbers(&args.daemons)? {
         let daemons = daemons as usize;
         let plan = SpreadPlan {
-            fleet: fleet_plan(daemons, args.settings.clone()),
+            fleet: make_fleet_plan(daemons, args.settings.clone()),
             changes: args.changes,
             idle: Duration::from_secs(args.idle),
         };
-        print(&measure_spread(&plan).await?)?;
+        print_json_line(&measure_spread(&plan).await?)?;
         if !args.no_baseline {
-            print(&measure_baseline(BaselineKind::Poll, daemons, args.changes).await?)?;
-            print(&measure_baseline(BaselineKind::Watch, daemons, args.changes).await?)?;
+            print_json_line(&measure_baseline(BaselineKind::Poll, daemons, args.changes).await?)?;
+            print_json_line(&measure_baseline(BaselineKind::Watch, daemons, args.changes).await?)?;
         }
     }
     Ok(())
 }
 
-async fn members(args: &MemberArgs) -> anyhow::Result<()> {
-    for daemons in numbers(&args.daemons)? {
-        let plan = fleet_plan(daemons as usize, String::new());
-        print(&measure_members(plan, args.rounds).await?)?;
+async fn run_members(args: &MemberArgs) -> anyhow::Result<()> {
+    for daemons in parse_numbers(&args.daemons)? {
+        let plan = make_fleet_plan(daemons as usize, String::new());
+        print_json_line(&measure_members(plan, args.rounds).await?)?;
     }
     Ok(())
 }
 
-fn fleet_plan(daemons: usize, settings: String) -> FleetPlan {
-    // Nine data centres at the full size; at least a few daemons in each.
+fn make_fleet_plan(daemons: usize, settings: String) -> FleetPlan {
+    // At most 9 data centres, with about 5 daemons or more in each.
     FleetPlan { daemons, data_centres: (daemons / 5).clamp(2, 9), settings }
 }
 
-async fn load(args: &LoadArgs) -> anyhow::Result<()> {
+async fn run_load(args: &LoadArgs) -> anyhow::Result<()> {
     let plan = LoadPlan {
-        rates: numbers(&args.rates)?,
+        rates: parse_numbers(&args.rates)?,
         time: Duration::from_secs(args.seconds),
         work_ms: args.work_ms,
         servers: args.servers,
     };
-    measure_load(&plan).await?.iter().try_for_each(print)?;
-    print(&measure_connections(args.connections).await?)
+    measure_load(&plan).await?.iter().try_for_each(print_json_line)?;
+    print_json_line(&measure_connections(args.connections).await?)
 }
 
-async fn claims(args: &ClaimArgs) -> anyhow::Result<()> {
-    let figures = measure_claims(&numbers(&args.rates)?, args.writers, args.seconds).await?;
-    figures.iter().try_for_each(print)
+async fn run_claims(args: &ClaimArgs) -> anyhow::Result<()> {
+    let figures = measure_claims(&parse_numbers(&args.rates)?, args.writers, args.seconds).await?;
+    figures.iter().try_for_each(print_json_line)
 }
 
-fn numbers(list: &str) -> anyhow::Result<Vec<u64>> {
+/// Parses numbers separated by commas.
+fn parse_numbers(list: &str) -> anyhow::Result<Vec<u64>> {
     Ok(list.split(',').map(|number| number.trim().parse()).collect::<Result<_, _>>()?)
 }
 
-fn print<T: Serialize>(figures: &T) -> anyhow::Result<()> {
+fn print_json_line<T: Serialize>(figures: &T) -> anyhow::Result<()> {
     println!("{}", serde_json::to_string(figures)?);
     Ok(())
 }
--- a/src/bin/sk-platform.rs
+++ b/src/bin/sk-platform.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in as a process. Prints its address and runs until SIGTERM.
+//! The simulated platform as a process. Prints its address once it listens and runs until SIGTERM.
 
 use std::net::SocketAddr;
 
@@ -13,10 +13,10 @@
     /// Address to listen at
     #[options(default = "127.0.0.1:0")]
     address: String,
-    /// Writes a second
+    /// Writes allowed a second
     #[options(default = "400")]
     writes: f64,
-    /// Reads a second
+    /// Reads allowed a second
     #[options(default = "2000")]
     reads: f64,
 }
--- a/src/bin/sk-soak.rs
+++ b/src/bin/sk-soak.rs
@@ -1,4 +1,5 @@
-//! Real daemons under faults from outside, one seed a run.
+//! Runs real daemons under injected faults and reports each violated guarantee. Each run has one
+//! seed, so that a failed run can be repeated with the same schedule.
 
 use std::{path::PathBuf, process::ExitCode, time::Duration};
 
@@ -6,8 +7,8 @@
 use gumdrop::Options;
 use sk_soak::{FaultKind, SoakPlan, SoakReport, run_soak};
 
-/// Exit code of a run in which something did not hold.
-const BROKEN: u8 = 1;
+/// Exit code if a check failed in any run.
+const FAILED_EXIT_CODE: u8 = 1;
 
 #[derive(Debug, Options)]
 struct SoakArgs {
@@ -19,11 +20,11 @@
 
 #[derive(Debug, Options)]
 enum SoakCommand {
-    /// Runs seeds one after the other and prints a report of each
+    /// Run seeds one after the other and print a report of each
     Run(RunArgs),
-    /// Runs one seed again, with the same schedule
+    /// Run one seed again, with the same schedule
     Replay(ReplayArgs),
-    /// Lists the kinds of faults
+    /// List the kinds of faults
     Faults(FaultArgs),
 }
 
@@ -34,7 +35,7 @@
     /// First seed
     #[options(default = "1")]
     seed: u64,
-    /// Seeds, from the first on
+    /// Number of seeds, from the first on
     #[options(no_short, default = "1")]
     seeds: u64,
     /// Minutes of each run
@@ -49,7 +50,7 @@
     /// Kinds of faults with commas between; all by default
     #[options(no_short, default = "")]
     faults: String,
-    /// Folder for settings, logs and reports; those of sound runs are removed
+    /// Folder for settings, logs and reports; those of passed runs are removed
     #[options(no_short, default = "target/soak")]
     folder: PathBuf,
     /// Print reports as JSON, one a line
@@ -76,7 +77,7 @@
     /// Kinds of faults with commas between; all by default
     #[options(no_short, default = "")]
     faults: String,
-    /// Folder for settings, logs and reports, which stay
+    /// Folder for settings, logs and reports, which are kept
     #[options(no_short, default = "target/soak")]
     folder: PathBuf,
 }
@@ -108,19 +109,20 @@
         };
         let mut terminate =
             tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())?;
-        // A run that is dropped ends all processes that it started.
+        // Dropping the run ends all processes that it started.
         let is_sound = tokio::select! {
             is_sound = run => is_sound?,
             _ = tokio::signal::ctrl_c() => anyhow::bail!("interrupted"),
-            _ = terminate.recv() => anyhow::bail!("told to end"),
+            _ = terminate.recv() => anyhow::bail!("terminated"),
         };
-        Ok(if is_sound { ExitCode::SUCCESS } else { ExitCode::from(BROKEN) })
+        Ok(if is_sound { ExitCode::SUCCESS } else { ExitCode::from(FAILED_EXIT_CODE) })
     })
 }
 
+/// Runs each seed and returns whether all passed.
 async fn run(args: RunArgs) -> anyhow::Result<bool> {
-    let faults = read_faults(&args.faults)?;
-    let mut broken = Vec::new();
+    let faults = parse_faults(&args.faults)?;
+    let mut failed = Vec::new();
     for seed in args.seed..args.seed + args.seeds {
         let plan = make_plan(seed, args.minutes, args.daemons, args.callers, &faults);
         let folder = args.folder.join(format!("{}-{seed}", std::process::id()));
@@ -132,28 +134,30 @@
         match report.is_sound() {
             true => std::fs::remove_dir_all(&folder)?,
             false => {
-                keep(&report, &folder)?;
-                broken.push(seed);
+                save_report(&report, &folder)?;
+                failed.push(seed);
             }
         }
     }
     if !args.json {
-        println!("{} seeds, broken: {broken:?}", args.seeds);
+        println!("{} seeds, broken: {failed:?}", args.seeds);
     }
-    Ok(broken.is_empty())
+    Ok(failed.is_empty())
 }
 
+/// Runs one seed, keeps its files and returns whether it passed.
 async fn replay(args: ReplayArgs) -> anyhow::Result<bool> {
-    let faults = read_faults(&args.faults)?;
+    let faults = parse_faults(&args.faults)?;
     let plan = make_plan(args.seed, args.minutes, args.daemons, args.callers, &faults);
     let folder = args.folder.join(format!("{}-{}", std::process::id(), args.seed));
     let report = run_soak(&plan, &folder).await?;
     print!("{report}");
-    keep(&report, &folder)?;
+    save_report(&report, &folder)?;
     Ok(report.is_sound())
 }
 
-fn keep(report: &SoakReport, folder: &std::path::Path) -> anyhow::Result<()> {
+/// Writes the report beside the logs of its run and prints where they are.
+fn save_report(report: &SoakReport, folder: &std::path::Path) -> anyhow::Result<()> {
     std::fs::write(folder.join("report.json"), serde_json::to_string_pretty(report)?)?;
     println!("logs and report: {}", folder.display());
     Ok(())
@@ -170,7 +174,8 @@
     SoakPlan { seed, span, daemons, callers, faults: faults.to_vec() }
 }
 
-fn read_faults(text: &str) -> anyhow::Result<Vec<FaultKind>> {
+/// Parses the names of fault kinds; an empty text stands for all kinds.
+fn parse_faults(text: &str) -> anyhow::Result<Vec<FaultKind>> {
     if text.is_empty() {
         return Ok(FaultKind::ALL.to_vec());
     }
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,5 @@
-//! Arguments of the command line.
+//! Arguments of the command line. Field names are flags, variant names are subcommands, and doc
+//! comments are the help texts.
 
 use std::path::PathBuf;
 
@@ -8,17 +9,17 @@
 
 /// Operates a fleet: changes settings and reads reports.
 ///
-/// Exit codes: 0 done, 1 refused and nothing was done, 2 called wrongly, 3 outcome unknown.
+/// Exit codes: 0 done, 1 refused and nothing was changed, 2 usage error, 3 outcome unknown.
 #[derive(Debug, Options)]
 pub struct CliArgs {
     /// Print this help
     pub help: bool,
-    /// A daemon's address for operators; else SAPPHIREKEEL_DAEMON
+    /// A daemon's ops address; default: SAPPHIREKEEL_DAEMON
     #[options(meta = "IP:PORT")]
     pub daemon: Option<String>,
-    /// Token; else SAPPHIREKEEL_TOKEN
+    /// Token; default: SAPPHIREKEEL_TOKEN
     pub token: Option<String>,
-    /// TOML file with `daemon` and `token`, asked last
+    /// TOML file with `daemon` and `token`, used if neither flag nor variable is set
     #[options(meta = "FILE")]
     pub config: Option<PathBuf>,
     /// Print data as JSON
@@ -31,41 +32,41 @@
 /// Subcommands.
 #[derive(Debug, Options)]
 pub enum CliCommand {
-    /// Run a small fleet on loopback and show a change going through it
+    /// Run a small fleet on loopback and show how changes spread
     Demo(DemoArgs),
     /// Check settings files and directories of declarations offline
     Check(CheckArgs),
     /// Show what apply would change
     Plan(PlanArgs),
-    /// Make a team's settings what a directory declares
+    /// Replace a team's settings by the declarations in a directory
     Apply(ApplyArgs),
     /// Withdraw one setting
     Withdraw(WithdrawArgs),
     /// Print accepted settings
     Get(GetArgs),
-    /// Print who holds what
+    /// Print which versions the proxies have in force
     Report(ReportArgs),
     /// Print a daemon's state
     State(StateArgs),
-    /// Create a team or give it another token
+    /// Create a team or replace its token
     Team(TeamArgs),
 }
 
-/// Runs a small fleet on loopback and shows a change going through it.
+/// Runs a small fleet on loopback and shows how changes spread.
 #[derive(Debug, Options)]
 pub struct DemoArgs {
     /// Print this help
     pub help: bool,
-    /// Exit after the report, with 1 if anything did not hold
+    /// Exit after the report, with 1 if a step failed
     #[options(no_short)]
     pub once: bool,
 }
 
 /// Checks offline: a file as settings of a daemon, a directory as declarations.
 ///
-/// DIR/<team>/a/b.toml declares the setting /<team>/a/b. Hidden entries and .md files are passed
-/// over. Any other name is refused, so that a mistyped name is not dropped without a word.
-/// Faults are printed as FILE:LINE:COLUMN. Exit codes: 0 all good, 1 faults found, 2 called wrongly.
+/// DIR/<team>/a/b.toml declares the setting /<team>/a/b. Hidden entries and .md files are ignored.
+/// Any other name is refused, so that a mistyped name is not silently ignored.
+/// Faults are printed as FILE:LINE:COLUMN. Exit codes: 0 all valid, 1 faults found, 2 usage error.
 #[derive(Debug, Options)]
 pub struct CheckArgs {
     /// Print this help
@@ -78,9 +79,9 @@
     pub paths: Vec<PathBuf>,
 }
 
-/// Shows what apply would change, as a diff from what is accepted to what is declared.
+/// Shows what apply would change, as a diff from the accepted to the declared settings.
 ///
-/// Exit codes: 0 also where nothing differs, 1 refused, 2 called wrongly.
+/// Exit codes: 0 also if nothing differs, 1 refused, 2 usage error.
 #[derive(Debug, Options)]
 pub struct PlanArgs {
     /// Print this help
@@ -95,9 +96,9 @@
     pub team: Option<String>,
 }
 
-/// Makes a team's settings what a directory declares, whole or not at all.
+/// Replaces a team's settings by the declarations in a directory, all or none of them.
 ///
-/// A change whose answer is lost is looked up by its id; exit code 3 says that it may be in force.
+/// A change whose answer is lost is looked up by its id; exit code 3 means that it may be in force.
 /// Running the same command again is safe, as a change id takes effect once.
 #[derive(Debug, Options)]
 pub struct ApplyArgs {
@@ -114,20 +115,20 @@
     /// Revision of the declarations in version control
     #[options(required, meta = "COMMIT")]
     pub revision: String,
-    /// Who applies
+    /// Author of the change
     #[options(required, meta = "NAME")]
     pub author: String,
-    /// Id to look the change up by; else made from its content
+    /// Id of the change; default: derived from its content
     #[options(no_short, meta = "ID")]
     pub change_id: Option<String>,
-    /// Wait until it is in force everywhere
+    /// Wait until the change is in force on all proxies
     pub wait: bool,
     /// Seconds to wait at most; reads the report with the token in SAPPHIREKEEL_MANAGER_TOKEN
     #[options(no_short, default = "30", meta = "SECONDS")]
     pub wait_bound: u64,
 }
 
-/// Withdraws one setting. Refused while a route needs it.
+/// Withdraws one setting. Refused while a route refers to it.
 #[derive(Debug, Options)]
 pub struct WithdrawArgs {
     /// Print this help
@@ -141,7 +142,7 @@
     /// Revision of the declarations in version control
     #[options(required, meta = "COMMIT")]
     pub revision: String,
-    /// Who withdraws
+    /// Author of the change
     #[options(required, meta = "NAME")]
     pub author: String,
 }
@@ -154,14 +155,15 @@
     /// Print data as JSON
     #[options(no_short)]
     pub json: bool,
-    /// Team; all teams with the managers' token
+    /// Team; default: all teams, which needs the managers' token
     #[options(free)]
     pub team: Option<String>,
 }
 
-/// Prints who holds what since when; with --path, --team, --from, --since or --until, who wrote what.
+/// Prints which version each proxy has in force since when.
 ///
-/// Needs the managers' token. Times are UTC; with --csv and --json milliseconds since 1970-01-01.
+/// With --path, --team, --from, --since or --until: prints which author wrote which settings. Needs
+/// the managers' token. Times are UTC; with --csv and --json milliseconds since 1970-01-01.
 #[derive(Debug, Options)]
 pub struct ReportArgs {
     /// Print this help
@@ -172,10 +174,10 @@
     /// Print comma-separated values
     #[options(no_short)]
     pub csv: bool,
-    /// How one change went through the fleet
+    /// How one change spread over the fleet
     #[options(no_short, meta = "VERSION")]
     pub change: Option<u64>,
-    /// Who wrote a path when
+    /// Changes of one path
     #[options(no_short, meta = "PATH")]
     pub path: Option<String>,
     /// Changes of one team
@@ -190,12 +192,12 @@
     /// Changes accepted before this time
     #[options(no_short, meta = "TIME")]
     pub until: Option<UtcTime>,
-    /// One proxy only
+    /// Only this proxy
     #[options(no_short)]
     pub proxy: Option<String>,
 }
 
-/// Prints what one daemon holds and believes, as JSON; answers also while the platform is away.
+/// Prints one daemon's state as JSON; works also during an outage of the platform.
 #[derive(Debug, Options)]
 pub struct StateArgs {
     /// Print this help
@@ -205,7 +207,7 @@
     pub json: bool,
 }
 
-/// Creates a team or gives it another token. Needs the managers' token.
+/// Creates a team or replaces its token. Needs the managers' token.
 #[derive(Debug, Options)]
 pub struct TeamArgs {
     /// Print this help
@@ -219,7 +221,7 @@
 }
 
 impl CliCommand {
-    /// Tells whether the subcommand itself asks for JSON.
+    /// Returns whether the subcommand's own flags ask for JSON.
     pub fn is_json(&self) -> bool {
         match self {
             Self::Demo(_) | Self::Team(_) => false,
--- a/src/client.rs
+++ b/src/client.rs
@@ -1,4 +1,5 @@
-//! Calls to a daemon's operators' interface.
+//! Calls to a daemon's operators' interface. An error says whether a change can have taken effect,
+//! so that a command never reports a change as refused that may be in force.
 
 use std::{path::Path, time::Duration};
 
@@ -13,17 +14,20 @@
 use sk_ops::OpsError;
 use thiserror::Error;
 
-/// Longer than a submit's own bound, so that the daemon's answer comes before ours.
+/// Bounds one call. Longer than the daemon's own bound on a submit, so that the daemon's answer
+/// arrives before this timeout.
 const CALL_TIMEOUT: Duration = Duration::from_secs(15);
+/// Bounds the body of an answer that is read into memory.
 const MAX_ANSWER_BYTES: usize = 64_000_000;
 
-/// Where to call and as whom.
+/// A client of one daemon's operators' interface, with the token that it sends.
 pub struct OpsClient {
     daemon: String,
     token: String,
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
+/// The file named by `--config`.
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct ClientConfig {
@@ -31,16 +35,16 @@
     token: Option<String>,
 }
 
-/// A call that gave no result.
+/// Why a call has no result.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// The daemon refused, or said that the outcome is unknown.
+    /// The daemon refused the call, or answered that its outcome is unknown.
     #[error(transparent)]
     Refused(OpsError),
-    /// The call reached nobody, or was a read whose answer did not come: nothing was changed.
+    /// The call reached no daemon, or was a read without an answer: nothing was changed.
     #[error("{0}")]
     NotDone(ExchangeError),
-    /// No answer came; a change that was submitted may be accepted.
+    /// No answer arrived; a submitted change may have been accepted.
     #[error("{0}")]
     NoAnswer(ExchangeError),
 }
@@ -48,23 +52,23 @@
 /// Why an exchange of a request and its answer failed.
 #[derive(Debug, Error)]
 pub enum ExchangeError {
-    /// The request could not be made.
-    #[error("cannot make the request: {0}")]
+    /// The request cannot be built.
+    #[error("cannot build the request: {0}")]
     Request(#[from] http::Error),
-    /// Nobody accepted the connection.
-    #[error("daemon {0} is away")]
+    /// No process accepted the connection.
+    #[error("cannot connect to daemon {0}")]
     Connect(String),
     /// The connection ended before the answer.
-    #[error("connection broke: {0}")]
-    Broken(#[from] hyper_util::client::legacy::Error),
+    #[error("connection ended without an answer: {0}")]
+    Disconnected(#[from] hyper_util::client::legacy::Error),
     /// The answer's body ended early or is too long.
-    #[error("answer broke off: {0}")]
+    #[error("cannot read the whole answer: {0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    /// The bound passed.
+    /// No answer arrived within [`CALL_TIMEOUT`].
     #[error("no answer within {} s", CALL_TIMEOUT.as_secs())]
     Timeout,
-    /// The answer is not one that a daemon gives.
-    #[error("daemon answered {0} with what cannot be read")]
+    /// The answer's body has none of the forms that a daemon sends.
+    #[error("daemon answered {0} with a body that cannot be read")]
     Unreadable(StatusCode),
     /// The body cannot be encoded.
     #[error("cannot encode: {0}")]
@@ -72,12 +76,16 @@
 }
 
 impl OpsClient {
-    /// Makes a client for a daemon.
+    /// Creates a client of the daemon at an address `IP:PORT`.
     pub fn new(daemon: String, token: String) -> Self {
         Self { daemon, token, client: Client::builder(TokioExecutor::new()).build_http() }
     }
 
-    /// Makes a client from flags, the environment or a file, asked in that order.
+    /// Creates a client from flags, the environment or a file, in this order of precedence.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the file cannot be read, or if none of the three names a daemon.
     pub fn from_args(
         daemon: Option<String>,
         token: Option<String>,
@@ -94,18 +102,19 @@
         let env = |name| std::env::var(name).ok();
         let daemon = daemon.or_else(|| env("SAPPHIREKEEL_DAEMON")).or(config.daemon);
         let Some(daemon) = daemon else {
-            bail!("no daemon; name one by --daemon, SAPPHIREKEEL_DAEMON or --config");
+            bail!("no daemon given; set --daemon, SAPPHIREKEEL_DAEMON or --config");
         };
         let token = token.or_else(|| env("SAPPHIREKEEL_TOKEN")).or(config.token);
         Ok(Self::new(daemon, token.unwrap_or_default()))
     }
 
-    /// Gives a client for the same daemon with another token.
+    /// Returns a client of the same daemon with another token.
     pub fn with_token(&self, token: String) -> Self {
         Self::new(self.daemon.clone(), token)
     }
 
-    /// Reads. A read that fails has changed nothing.
+    /// Reads a path. A failed read has changed nothing, so it never ends in
+    /// [`CallError::NoAnswer`].
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, CallError> {
         let answer = self.call(Method::GET, path, Bytes::new()).await;
         match answer.and_then(|(status, body)| decode(status, &body)) {
@@ -114,7 +123,7 @@
         }
     }
 
-    /// Submits.
+    /// Sends a body to a path and returns the decoded answer.
     pub async fn post<B: Serialize, T: DeserializeOwned>(
         &self,
         path: &str,
@@ -124,11 +133,12 @@
         decode(status, &body)
     }
 
-    /// Writes.
+    /// Writes a body to a path.
     pub async fn put<B: Serialize>(&self, path: &str, body: &B) -> Result<(), CallError> {
         self.call(Method::PUT, path, encode(body)?).await.map(drop)
     }
 
+    /// Makes a call within [`CALL_TIMEOUT`] and returns the status and body of a success.
     async fn call(
         &self,
         method: Method,
@@ -164,17 +174,18 @@
             .body(Full::new(body))?)
     }
 
+    /// Sends a request and reads the whole answer.
     async fn exchange(
         &self,
         request: Request<Full<Bytes>>,
     ) -> Result<(StatusCode, Bytes), ExchangeError> {
         let response = match self.client.request(request).await {
             Ok(response) => response,
-            // Told apart from other failures, because nothing can have been done.
+            // Has its own variant, because nothing can have been done.
             Err(err) if err.is_connect() => {
                 return Err(ExchangeError::Connect(self.daemon.clone()));
             }
-            Err(err) => return Err(ExchangeError::Broken(err)),
+            Err(err) => return Err(ExchangeError::Disconnected(err)),
         };
         let status = response.status();
         let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES).collect().await;
--- a/src/cmd/apply.rs
+++ b/src/cmd/apply.rs
@@ -1,4 +1,6 @@
-//! Makes a team's settings what a directory declares.
+//! Replaces a team's settings by the declarations in a directory. Submits only the difference, on
+//! the version that it was computed from, so that a concurrent change is refused rather than
+//! overwritten.
 
 use std::time::Duration;
 
@@ -6,24 +8,27 @@
 use sk_model::{ChangeRecord, ChangeRequest, make_writes};
 
 use super::{
-    CmdOutcome, explain, plan::read_accepted, print_json, refuse, submit::submit, wait::wait,
+    CmdOutcome, plan::read_accepted, print_call_error, print_json, print_refusal, submit::submit,
+    wait::wait_in_force,
 };
 use crate::{cli::ApplyArgs, client::OpsClient, declared::read_team};
 
-/// Variable with the managers' token, by which `--wait` reads the report.
-const MANAGER_VARIABLE: &str = "SAPPHIREKEEL_MANAGER_TOKEN";
+/// Environment variable with the managers' token, which `--wait` needs to read the report.
+const MANAGER_TOKEN_VARIABLE: &str = "SAPPHIREKEEL_MANAGER_TOKEN";
 
-/// Applies a directory, and waits for the fleet where that was asked for.
+/// Applies a directory, and waits for the fleet if `--wait` is given.
 pub async fn run(
     client: &OpsClient,
     args: &ApplyArgs,
     is_json: bool,
 ) -> anyhow::Result<CmdOutcome> {
-    // Looked for before anything is sent: a usage error after the submit would hide its outcome.
-    let manager = match std::env::var(MANAGER_VARIABLE) {
+    // Read before anything is sent: a usage error after the submit would hide its outcome.
+    let manager = match std::env::var(MANAGER_TOKEN_VARIABLE) {
         _ if !args.wait => None,
         Ok(token) => Some(client.with_token(token)),
-        Err(_) => anyhow::bail!("--wait reads the report: set {MANAGER_VARIABLE}"),
+        Err(_) => anyhow::bail!(
+            "--wait needs the managers' token to read the report: set {MANAGER_TOKEN_VARIABLE}"
+        ),
     };
     let request = match make_request(client, args).await {
         Ok(request) => request,
@@ -42,17 +47,18 @@
     };
     match manager {
         Some(manager) => {
-            let bound = Duration::from_secs(args.wait_bound);
-            Ok(wait(&manager, record.version, bound, is_json).await)
+            let timeout = Duration::from_secs(args.wait_bound);
+            Ok(wait_in_force(&manager, record.version, timeout, is_json).await)
         }
         None => Ok(CmdOutcome::Done),
     }
 }
 
+/// Builds the change from the accepted to the declared settings, or prints why that fails.
 async fn make_request(client: &OpsClient, args: &ApplyArgs) -> Result<ChangeRequest, CmdOutcome> {
     let declared = read_team(&args.directory, args.team.as_deref());
-    let (team, declared) = declared.map_err(|err| refuse(&err))?;
-    let accepted = read_accepted(client, &team).await.map_err(|err| explain(&err))?;
+    let (team, declared) = declared.map_err(|err| print_refusal(&err))?;
+    let accepted = read_accepted(client, &team).await.map_err(|err| print_call_error(&err))?;
     let writes = make_writes(&accepted.settings, &declared);
     if writes.len() > MAX_WRITES {
         eprintln!(
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -1,4 +1,5 @@
-//! Checks settings and declarations offline.
+//! Checks settings files and directories of declarations offline, so that faults are found before
+//! anything is submitted or started.
 
 use std::{
     collections::BTreeMap,
@@ -15,11 +16,11 @@
     declared::{DeclaredTeams, read_declarations},
 };
 
-/// What was found at one path.
+/// Result of the check of one path.
 #[derive(Serialize)]
 struct CheckedPath {
     path: PathBuf,
-    /// What it holds, where it is good.
+    /// Description of the content, if it is valid.
     found: Option<String>,
     faults: Vec<String>,
 }
@@ -63,21 +64,22 @@
     }
 }
 
+/// Checks each declaration, and then all teams' declarations together.
 fn check_directory(directory: &Path) -> Result<String, Vec<String>> {
-    let list = |faults: Vec<_>| faults.iter().map(ToString::to_string).collect::<Vec<_>>();
-    let teams = read_declarations(directory).map_err(|faults| list(faults.0))?;
+    let describe = |faults: Vec<_>| faults.iter().map(ToString::to_string).collect::<Vec<_>>();
+    let teams = read_declarations(directory).map_err(|faults| describe(faults.0))?;
     let count: usize = teams.values().map(BTreeMap::len).sum();
     let faults = validate_trees(&make_trees(teams));
     match faults.is_empty() {
         true => Ok(format!("{count} good declarations")),
         false => {
-            let place = directory.display();
-            Err(faults.iter().map(|fault| format!("{place}: {fault}")).collect())
+            let directory = directory.display();
+            Err(faults.iter().map(|fault| format!("{directory}: {fault}")).collect())
         }
     }
 }
 
 fn make_trees(teams: DeclaredTeams) -> BTreeMap<String, Arc<TeamTree>> {
-    let tree = |settings| Arc::new(TeamTree { settings });
-    teams.into_iter().map(|(team, settings)| (team, tree(settings))).collect()
+    let make_tree = |settings| Arc::new(TeamTree { settings });
+    teams.into_iter().map(|(team, settings)| (team, make_tree(settings))).collect()
 }
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -1,4 +1,5 @@
-//! Runs a small fleet on loopback and shows a change going through it.
+//! Runs a small fleet on loopback and shows how changes spread over it. Platform, daemons and
+//! backend servers run within this process.
 
 use std::{
     collections::BTreeMap,
@@ -26,21 +27,22 @@
 use crate::{cli::DemoArgs, client::OpsClient, diff::render_writes};
 
 const MANAGER_TOKEN: &str = "demo manager";
-const SECRET: &str = "secret of the demo";
+const PEER_SECRET: &str = "secret of the demo";
 const TEAM_TOKEN: &str = "demo team";
 const TEAM: &str = "ledvica";
-/// Longest wait for anything on an idle machine; a loaded one needs a part of it.
+/// Longest wait for one condition. Even a loaded machine needs only a part of it.
 const WAIT_BOUND: Duration = Duration::from_secs(20);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Daemons: name, data centre and the service beside it.
+/// Name, data centre and local service of each daemon.
 const DAEMONS: [(&str, &str, Option<&str>); 3] = [
     ("lj1-board-1", "lj1", Some("/ledvica/queue-board")),
     ("lj1-records-1", "lj1", Some("/ledvica/treatment-records")),
     ("lj2-board-1", "lj2", Some("/ledvica/queue-board")),
 ];
 
-const FIRST: [(&str, &str); 4] = [
+/// Paths and declarations of the first change.
+const FIRST_SETTINGS: [(&str, &str); 4] = [
     (
         "/ledvica/queue-board",
         include_str!("../../examples/declarations/first/ledvica/queue-board.toml"),
@@ -59,7 +61,8 @@
     ),
 ];
 
-const SECOND: (&str, &str) = (
+/// Path and declaration of the second change.
+const SECOND_SETTING: (&str, &str) = (
     "/ledvica/routes/holdover",
     include_str!("../../examples/declarations/second/ledvica/routes/holdover.toml"),
 );
@@ -70,10 +73,10 @@
     backends: Vec<BackendHandle>,
 }
 
-/// Runs the demo.
+/// Runs the demo, and stops the fleet also if a step fails.
 pub async fn run(args: &DemoArgs) -> anyhow::Result<CmdOutcome> {
     let fleet = start_fleet().await?;
-    let shown = show(&fleet).await;
+    let shown = show_changes(&fleet).await;
     if shown.is_ok() && !args.once {
         println!("\nCtrl-C stops the demo.");
         tokio::signal::ctrl_c().await?;
@@ -82,7 +85,7 @@
     match shown.and(stopped) {
         Ok(()) => Ok(CmdOutcome::Done),
         Err(err) => {
-            eprintln!("did not hold: {err:#}");
+            eprintln!("demo failed: {err:#}");
             Ok(CmdOutcome::Refused)
         }
     }
@@ -99,7 +102,7 @@
             region: "slovenia",
             platform: &platform.address().to_string(),
             seeds: &seeds,
-            secret: SECRET,
+            secret: PEER_SECRET,
             manager_sha256: &hash_token(MANAGER_TOKEN),
             extra: "",
         });
@@ -124,7 +127,8 @@
     start_backend(options).await
 }
 
-async fn show(fleet: &DemoFleet) -> anyhow::Result<()> {
+/// Applies two changes, and prints for each the diff, the report and a request that it routes.
+async fn show_changes(fleet: &DemoFleet) -> anyhow::Result<()> {
     println!("platform      {}", fleet.platform.address());
     for ((name, ..), daemon) in DAEMONS.iter().zip(&fleet.daemons) {
         let addresses = daemon.addresses();
@@ -138,29 +142,29 @@
 
     wait_members(&manager).await?;
     let mut declared = BTreeMap::new();
-    for (path, text) in FIRST {
+    for (path, text) in FIRST_SETTINGS {
         declared.insert(path.to_owned(), parse_declaration(text)?);
     }
     let record = apply(&operator, &BTreeMap::new(), &declared, 0).await?;
     let report = wait_in_force(&manager, &record).await?;
     print!("\n{}", render_report(&report));
 
-    // The second data centre has no treatment records of its own.
-    let entry = fleet.daemons[2].addresses().proxy;
+    // The second data centre has no server of the treatment records.
+    let proxy = fleet.daemons[2].addresses().proxy;
     println!(
-        "\nGET /treatments/7 at {entry}\n{}",
-        wait_served(entry, "/treatments/7").await?.trim()
+        "\nGET /treatments/7 at {proxy}\n{}",
+        wait_served(proxy, "/treatments/7").await?.trim()
     );
 
-    let before = control_bytes(fleet).await?;
+    let before = read_control_bytes(fleet).await?;
     let accepted = declared.clone();
-    declared.insert(SECOND.0.to_owned(), parse_declaration(SECOND.1)?);
+    declared.insert(SECOND_SETTING.0.to_owned(), parse_declaration(SECOND_SETTING.1)?);
     let record = apply(&operator, &accepted, &declared, record.version).await?;
     let report = wait_in_force(&manager, &record).await?;
     print!("\n{}", render_report(&report));
-    let after = control_bytes(fleet).await?;
+    let after = read_control_bytes(fleet).await?;
     println!("\ncontrol bytes sent by all daemons meanwhile: {}", after - before);
-    println!("GET /holdover/7 at {entry}\n{}", wait_served(entry, "/holdover/7").await?.trim());
+    println!("GET /holdover/7 at {proxy}\n{}", wait_served(proxy, "/holdover/7").await?.trim());
     Ok(())
 }
 
@@ -183,7 +187,7 @@
     Ok(operator.post("/v1/changes", &request).await?)
 }
 
-/// Waits until every daemon knows of every other, so that "everywhere" means all three.
+/// Waits until the first daemon knows all 3, so that the reports cover the whole fleet.
 async fn wait_members(manager: &OpsClient) -> anyhow::Result<()> {
     let begin = Instant::now();
     loop {
@@ -191,11 +195,12 @@
         if report.total == DAEMONS.len() {
             return Ok(());
         }
-        ensure!(begin.elapsed() < WAIT_BOUND, "{} daemons found each other", report.total);
+        ensure!(begin.elapsed() < WAIT_BOUND, "only {} daemons have joined", report.total);
         tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
+/// Waits until a change is in force on all proxies.
 async fn wait_in_force(manager: &OpsClient, record: &ChangeRecord) -> anyhow::Result<FleetReport> {
     let begin = Instant::now();
     loop {
@@ -204,16 +209,17 @@
             return Ok(report);
         }
         let (in_force, total) = (report.in_force, report.total);
-        ensure!(begin.elapsed() < WAIT_BOUND, "in force on {in_force} of {total} only");
+        ensure!(begin.elapsed() < WAIT_BOUND, "in force only on {in_force} of {total}");
         tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn wait_served(entry: SocketAddr, path: &str) -> anyhow::Result<String> {
+/// Requests a path until a server answers with success, and returns the body.
+async fn wait_served(proxy: SocketAddr, path: &str) -> anyhow::Result<String> {
     let client = Client::builder(TokioExecutor::new()).build_http::<Empty<Bytes>>();
     let begin = Instant::now();
     loop {
-        let response = client.get(format!("http://{entry}{path}").parse()?).await?;
+        let response = client.get(format!("http://{proxy}{path}").parse()?).await?;
         let status = response.status();
         let body = response.into_body().collect().await?.to_bytes();
         if status.is_success() {
@@ -224,7 +230,8 @@
     }
 }
 
-async fn control_bytes(fleet: &DemoFleet) -> anyhow::Result<u64> {
+/// Sums the control bytes that all daemons have sent so far.
+async fn read_control_bytes(fleet: &DemoFleet) -> anyhow::Result<u64> {
     let mut sum = 0;
     for daemon in &fleet.daemons {
         let client = OpsClient::new(daemon.addresses().ops.to_string(), String::new());
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -1,4 +1,5 @@
-//! Subcommands, one file each.
+//! Subcommands, one file each. The outcome of a command is its exit code, by which scripts can tell
+//! a refusal from a change that may be in force.
 
 mod apply;
 mod check;
@@ -23,16 +24,16 @@
     client::{CallError, OpsClient},
 };
 
-/// How a command ended, as its exit code tells scripts.
+/// Outcome of a command, with its exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CmdOutcome {
     /// Done: 0.
     Done,
     /// Refused, and nothing was done: 1.
     Refused,
-    /// Called wrongly: 2.
+    /// Usage error: 2.
     Usage,
-    /// It is not known whether it was done: 3.
+    /// Unknown whether it was done: 3.
     Unknown,
 }
 
@@ -47,7 +48,7 @@
     }
 }
 
-/// Runs the subcommand.
+/// Runs the subcommand and returns its exit code.
 pub async fn run(args: CliArgs) -> ExitCode {
     let Some(command) = args.command else {
         eprintln!("{}", CliArgs::usage());
@@ -55,8 +56,8 @@
         return CmdOutcome::Usage.into();
     };
     let is_json = args.json || command.is_json();
-    let client = || OpsClient::from_args(args.daemon, args.token, args.config.as_deref());
-    let result = run_command(command, client, is_json).await;
+    let make_client = || OpsClient::from_args(args.daemon, args.token, args.config.as_deref());
+    let result = run_command(command, make_client, is_json).await;
     match result {
         Ok(outcome) => outcome.into(),
         Err(err) => {
@@ -66,33 +67,33 @@
     }
 }
 
-/// Runs a subcommand; the client is made only by those that call a daemon.
+/// Runs a subcommand. Only those that call a daemon create a client, as the others need no address.
 async fn run_command(
     command: CliCommand,
-    client: impl FnOnce() -> anyhow::Result<OpsClient>,
+    make_client: impl FnOnce() -> anyhow::Result<OpsClient>,
     is_json: bool,
 ) -> anyhow::Result<CmdOutcome> {
     match command {
         CliCommand::Demo(args) => demo::run(&args).await,
         CliCommand::Check(args) => check::run(&args, is_json),
-        CliCommand::Plan(args) => plan::run(&client()?, &args, is_json).await,
-        CliCommand::Apply(args) => apply::run(&client()?, &args, is_json).await,
-        CliCommand::Withdraw(args) => withdraw::run(&client()?, &args, is_json).await,
-        CliCommand::Get(args) => get::run(&client()?, &args, is_json).await,
-        CliCommand::Report(args) => report::run(&client()?, &args, is_json).await,
-        CliCommand::State(_) => state::run(&client()?).await,
-        CliCommand::Team(args) => team::run(&client()?, &args).await,
+        CliCommand::Plan(args) => plan::run(&make_client()?, &args, is_json).await,
+        CliCommand::Apply(args) => apply::run(&make_client()?, &args, is_json).await,
+        CliCommand::Withdraw(args) => withdraw::run(&make_client()?, &args, is_json).await,
+        CliCommand::Get(args) => get::run(&make_client()?, &args, is_json).await,
+        CliCommand::Report(args) => report::run(&make_client()?, &args, is_json).await,
+        CliCommand::State(_) => state::run(&make_client()?).await,
+        CliCommand::Team(args) => team::run(&make_client()?, &args).await,
     }
 }
 
-/// Prints why the command line itself refuses.
-pub fn refuse(err: &dyn std::error::Error) -> CmdOutcome {
+/// Prints an error for which the command line itself refuses, before any call.
+pub fn print_refusal(err: &dyn std::error::Error) -> CmdOutcome {
     eprintln!("refused: {err}");
     CmdOutcome::Refused
 }
 
-/// Prints why a call gave no result and tells how the command ended.
-pub fn explain(err: &CallError) -> CmdOutcome {
+/// Prints why a call has no result and returns the command's outcome.
+pub fn print_call_error(err: &CallError) -> CmdOutcome {
     match err {
         CallError::Refused(OpsError::Raced { conflicting }) => {
             eprintln!("refused: the subtree was changed meanwhile:");
@@ -103,7 +104,7 @@
             CmdOutcome::Refused
         }
         CallError::Refused(OpsError::Invalid { faults }) => {
-            eprintln!("refused: the configuration would be at fault:");
+            eprintln!("refused: the configuration would be invalid:");
             faults.iter().for_each(|fault| eprintln!("  {fault}"));
             CmdOutcome::Refused
         }
--- a/src/cmd/plan.rs
+++ b/src/cmd/plan.rs
@@ -1,10 +1,10 @@
-//! Shows what apply would change.
+//! Shows what `apply` would change, without a change.
 
 use serde::Serialize;
 use sk_model::{SettingWrites, TeamName, Version, make_writes};
 use sk_ops::{HeldView, TeamView};
 
-use super::{CmdOutcome, explain, print_json, refuse};
+use super::{CmdOutcome, print_call_error, print_json, print_refusal};
 use crate::{
     cli::PlanArgs,
     client::{CallError, OpsClient},
@@ -12,7 +12,7 @@
     diff::{count_writes, render_writes},
 };
 
-/// What apply would submit.
+/// The change that `apply` would submit.
 #[derive(Serialize)]
 struct ChangePlan<'a> {
     team: &'a TeamName,
@@ -20,15 +20,15 @@
     writes: &'a SettingWrites,
 }
 
-/// Prints the difference between what is accepted and what is declared.
+/// Prints the difference between the accepted and the declared settings.
 pub async fn run(client: &OpsClient, args: &PlanArgs, is_json: bool) -> anyhow::Result<CmdOutcome> {
     let (team, declared) = match read_team(&args.directory, args.team.as_deref()) {
         Ok(found) => found,
-        Err(err) => return Ok(refuse(&err)),
+        Err(err) => return Ok(print_refusal(&err)),
     };
     let accepted = match read_accepted(client, &team).await {
         Ok(accepted) => accepted,
-        Err(err) => return Ok(explain(&err)),
+        Err(err) => return Ok(print_call_error(&err)),
     };
     let writes = make_writes(&accepted.settings, &declared);
     match is_json {
@@ -48,7 +48,7 @@
     );
 }
 
-/// Reads a team's accepted settings; a team without any has version zero.
+/// Reads a team's accepted settings; a team without any has version 0.
 pub async fn read_accepted(client: &OpsClient, team: &str) -> Result<TeamView, CallError> {
     let mut view: HeldView = client.get(&format!("/v1/settings?team={team}")).await?;
     let empty = TeamView { version: 0, settings: Default::default() };
--- a/src/cmd/report.rs
+++ b/src/cmd/report.rs
@@ -1,4 +1,4 @@
-//! Prints who holds what, how a change went, and who wrote what when.
+//! Prints the version in force on each proxy, how one change spread, and which author wrote what.
 
 use std::io;
 
@@ -6,11 +6,11 @@
 use sk_model::{ChangeRecord, Version};
 use sk_report::{ChangeReport, FleetReport, ProxyReport, ProxyState};
 
-use super::{CmdOutcome, explain, print_json};
+use super::{CmdOutcome, print_call_error, print_json};
 use crate::{
     cli::ReportArgs,
     client::{CallError, OpsClient},
-    utc::utc_text,
+    utc::format_utc,
 };
 
 /// Prints the report that the arguments ask for.
@@ -19,7 +19,7 @@
     args: &ReportArgs,
     is_json: bool,
 ) -> anyhow::Result<CmdOutcome> {
-    let is_history = is_history(args);
+    let is_history = is_history_query(args);
     let printed = match args.change {
         Some(version) => report_change(client, version, args, is_json).await,
         None if is_history => report_history(client, args, is_json).await,
@@ -27,11 +27,12 @@
     };
     match printed {
         Ok(printed) => printed.map(|()| CmdOutcome::Done),
-        Err(err) => Ok(explain(&err)),
+        Err(err) => Ok(print_call_error(&err)),
     }
 }
 
-fn is_history(args: &ReportArgs) -> bool {
+/// Returns whether the arguments ask for accepted changes rather than for the proxies.
+fn is_history_query(args: &ReportArgs) -> bool {
     let is_timed = args.since.is_some() || args.until.is_some();
     is_timed || args.path.is_some() || args.team.is_some() || args.from.is_some()
 }
@@ -80,7 +81,7 @@
     is_json: bool,
 ) -> Result<anyhow::Result<()>, CallError> {
     let mut records = read_history(client, args.from.unwrap_or(1)).await?;
-    records.retain(|record| is_wanted(record, args));
+    records.retain(|record| is_selected(record, args));
     Ok(match (is_json, args.csv) {
         (true, _) => print_json(&records),
         (_, true) => print_csv(records.iter().map(ChangeRow::new)),
@@ -95,7 +96,7 @@
     })
 }
 
-fn is_wanted(record: &ChangeRecord, args: &ReportArgs) -> bool {
+fn is_selected(record: &ChangeRecord, args: &ReportArgs) -> bool {
     let mut paths = record.written.iter().chain(&record.withdrawn);
     args.since.is_none_or(|since| record.accepted_at >= since.0)
         && args.until.is_none_or(|until| record.accepted_at < until.0)
@@ -103,7 +104,7 @@
         && args.path.as_ref().is_none_or(|wanted| paths.any(|path| path == wanted))
 }
 
-/// Reads all records from a version on, page by page.
+/// Reads the records of all changes from a version on, page by page.
 async fn read_history(
     client: &OpsClient,
     mut from: Version,
@@ -117,6 +118,7 @@
     }
 }
 
+/// A row of comma-separated values about one proxy; the field names are the columns.
 #[derive(Serialize)]
 struct ProxyRow<'a> {
     proxy: &'a str,
@@ -140,6 +142,7 @@
     }
 }
 
+/// A row of comma-separated values about one change; the field names are the columns.
 #[derive(Serialize)]
 struct ChangeRow<'a> {
     version: Version,
@@ -175,7 +178,7 @@
     Ok(writer.flush()?)
 }
 
-/// Renders the report as a table.
+/// Renders the newest change and a table of the proxies.
 pub fn render_report(report: &FleetReport) -> String {
     let mut text = match &report.change {
         Some(change) => format!(
@@ -198,7 +201,7 @@
             proxy.proxy,
             proxy.data_centre,
             proxy.version,
-            utc_text(proxy.since),
+            format_utc(proxy.since),
             proxy.source,
             render_state(&proxy.state)
         ));
@@ -212,7 +215,7 @@
         ProxyState::Pending => "pending".to_owned(),
         ProxyState::Rejected { reason } => format!("rejected: {reason}"),
         ProxyState::Unreachable { unreachable_since } => {
-            format!("unreachable since {}", utc_text(*unreachable_since))
+            format!("unreachable since {}", format_utc(*unreachable_since))
         }
         ProxyState::Unknown => "unknown".to_owned(),
     }
@@ -237,7 +240,7 @@
     let mut text = format!(
         "version {} at {} by {} of {}, revision {}, change {}\n",
         record.version,
-        utc_text(record.accepted_at),
+        format_utc(record.accepted_at),
         record.author,
         record.team,
         record.revision,
--- a/src/cmd/submit.rs
+++ b/src/cmd/submit.rs
@@ -1,28 +1,34 @@
-//! Submits a change and finds out what became of it.
+//! Submits a change and determines its outcome. A change whose answer is lost is looked up by its
+//! id, so that a change in force is not reported as failed.
 
 use std::time::Duration;
 
 use sk_model::{ChangeRecord, ChangeRequest, hash_json};
 use sk_ops::OpsError;
 
-use super::{CmdOutcome, explain, print_json};
+use super::{CmdOutcome, print_call_error, print_json};
 use crate::client::{CallError, OpsClient};
 
-/// Looks for a change whose answer was lost. Together with the growing pauses they outlast one
-/// timeout of the platform, after which most lost answers are settled.
+/// Number of lookups of a change whose answer was lost. With the growing delays they take longer
+/// than one timeout of the platform, after which the outcome of most changes is known.
 const MAX_LOOKUPS: u32 = 6;
-/// Pause before the first look; doubles with each.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+/// Delay before the first lookup; doubles with each.
+const FIRST_LOOKUP_DELAY: Duration = Duration::from_millis(100);
 
-/// Submits a change and prints what became of it; gives how the command ended otherwise.
+/// Submits a change and prints its record. The inner error is the command's outcome if the change
+/// was refused or its outcome is unknown.
+///
+/// # Errors
+///
+/// Returns an error if the record cannot be printed.
 pub async fn submit(
     client: &OpsClient,
     mut request: ChangeRequest,
     is_json: bool,
 ) -> anyhow::Result<Result<ChangeRecord, CmdOutcome>> {
     if request.change_id.is_empty() {
-        // Made from the content, so that running the command again after a lost answer asks
-        // about the same change instead of making another.
+        // Derived from the content, so that the command, run again after a lost answer, refers to
+        // the same change instead of creating another.
         let digest = hash_json(&request);
         request.change_id = format!("{}-{}", request.team, &digest[..16]);
     }
@@ -30,8 +36,8 @@
     let record = match answer {
         Ok(record) => record,
         Err(err) => {
-            let outcome = explain(&err);
-            match look_up(client, &request, outcome).await {
+            let outcome = print_call_error(&err);
+            match look_up_change(client, &request, outcome).await {
                 Ok(record) => record,
                 Err(outcome) => return Ok(Err(outcome)),
             }
@@ -44,11 +50,11 @@
     Ok(Ok(record))
 }
 
-/// Looks a change up while its outcome is unknown.
+/// Looks up a change by its id if its outcome is unknown, up to [`MAX_LOOKUPS`] times.
 ///
 /// An answer can be lost after the write has taken effect; the operator would then see a failure
-/// although the change is in force. Asking by the id that the request chose tells the two apart.
-async fn look_up(
+/// although the change is in force. The lookup by the request's own id tells the two apart.
+async fn look_up_change(
     client: &OpsClient,
     request: &ChangeRequest,
     outcome: CmdOutcome,
@@ -57,29 +63,29 @@
         return Err(outcome);
     }
     let id = &request.change_id;
-    eprintln!("looking for change {id}");
-    let mut pause = FIRST_PAUSE;
+    eprintln!("looking up change {id}");
+    let mut delay = FIRST_LOOKUP_DELAY;
     for _ in 0..MAX_LOOKUPS {
-        tokio::time::sleep(pause).await;
-        pause *= 2;
+        tokio::time::sleep(delay).await;
+        delay *= 2;
         match client.get::<ChangeRecord>(&format!("/v1/changes/{id}")).await {
-            Ok(record) if is_of(&record, request) => return Ok(record),
+            Ok(record) if is_record_of(&record, request) => return Ok(record),
             Ok(record) => {
-                return Err(explain(&CallError::Refused(OpsError::IdReused {
+                return Err(print_call_error(&CallError::Refused(OpsError::IdReused {
                     record: Box::new(record),
                 })));
             }
-            // Not found so far, or the daemon is away: neither settles it.
+            // Neither a missing record nor an unreachable daemon proves that it was not accepted.
             Err(_) => (),
         }
     }
-    eprintln!("unknown: change {id} is not seen in force, and may yet come into force");
+    eprintln!("unknown: change {id} is not known to be accepted, but may still be");
     eprintln!("run the same command again: change {id} takes effect at most once");
     Err(CmdOutcome::Unknown)
 }
 
-/// Tells whether a record is the request's, and not another change's under the same id.
-fn is_of(record: &ChangeRecord, request: &ChangeRequest) -> bool {
+/// Returns whether a record is that of the request, and not of another change with the same id.
+fn is_record_of(record: &ChangeRecord, request: &ChangeRequest) -> bool {
     let written = request.writes.iter().filter(|(_, body)| body.is_some()).map(|(path, _)| path);
     let withdrawn = request.writes.iter().filter(|(_, body)| body.is_none()).map(|(path, _)| path);
     record.team == request.team
--- a/src/cmd/team.rs
+++ b/src/cmd/team.rs
@@ -1,8 +1,8 @@
-//! Creates a team or gives it another token.
+//! Creates a team or replaces its token.
 
 use sk_ops::TeamRecord;
 
-use super::{CmdOutcome, explain};
+use super::{CmdOutcome, print_call_error};
 use crate::{cli::TeamArgs, client::OpsClient};
 
 /// Writes the team's record.
@@ -13,6 +13,6 @@
             println!("team {} is set", args.team);
             Ok(CmdOutcome::Done)
         }
-        Err(err) => Ok(explain(&err)),
+        Err(err) => Ok(print_call_error(&err)),
     }
 }
--- a/src/cmd/withdraw.rs
+++ b/src/cmd/withdraw.rs
@@ -1,8 +1,8 @@
-//! Withdraws one setting.
+//! Withdraws one setting of a team.
 
 use sk_model::{ChangeRequest, SettingWrites, check_path, team_of};
 
-use super::{CmdOutcome, explain, plan::read_accepted, refuse, submit::submit};
+use super::{CmdOutcome, plan::read_accepted, print_call_error, print_refusal, submit::submit};
 use crate::{cli::WithdrawArgs, client::OpsClient};
 
 /// Withdraws the setting at a path.
@@ -12,12 +12,12 @@
     is_json: bool,
 ) -> anyhow::Result<CmdOutcome> {
     if let Err(err) = check_path(&args.path) {
-        return Ok(refuse(&err));
+        return Ok(print_refusal(&err));
     }
     let team = team_of(&args.path).to_owned();
     let accepted = match read_accepted(client, &team).await {
         Ok(accepted) => accepted,
-        Err(err) => return Ok(explain(&err)),
+        Err(err) => return Ok(print_call_error(&err)),
     };
     let request = ChangeRequest {
         change_id: String::new(),
--- a/src/declared.rs
+++ b/src/declared.rs
@@ -1,4 +1,6 @@
-//! Declarations in a directory kept in version control.
+//! Reads declarations from a directory kept in version control. A name that is neither a
+//! declaration nor a Markdown file is a fault, because a mistyped name would otherwise withdraw its
+//! setting. All faults are listed at once, each with its file.
 
 use std::{
     collections::BTreeMap,
@@ -13,48 +15,48 @@
 };
 use thiserror::Error;
 
-/// Settings that a directory declares for one team.
+/// Settings that a directory declares for one team, by path.
 pub type DeclaredSettings = BTreeMap<SettingPath, SettingBody>;
 
-/// Declarations of every team.
+/// Declarations of all teams in a directory, by team.
 pub type DeclaredTeams = BTreeMap<TeamName, DeclaredSettings>;
 
-/// Most entries read below one directory. Far above a fleet's declarations; a wrong directory
-/// named by mistake, such as a home, ends here and not in a full memory.
+/// Bounds the entries read below one directory. Far above the number of a fleet's declarations; it
+/// keeps a directory given by mistake, such as a home directory, from filling the memory.
 const MAX_ENTRIES: usize = 20_000;
-/// Most faults listed. More of them have one cause, such as the wrong directory.
+/// Bounds the faults listed. More of them usually have one cause, such as the wrong directory.
 const MAX_FAULTS: usize = 100;
 
-/// Why one entry of a directory is no declaration.
+/// Why an entry of a directory is not a valid declaration.
 #[derive(Debug, Error)]
 pub enum DeclaredFault {
-    /// It cannot be read.
+    /// The entry cannot be read.
     #[error("{}: {source}", file.display())]
     Read {
         /// The entry.
         file: PathBuf,
-        /// What the system said.
+        /// The system's error.
         source: io::Error,
     },
-    /// Its name is not one that a declaration, a team or a note may have.
-    #[error("{}: neither `.toml` nor `.md`; a mistyped name would be dropped without a word", file.display())]
+    /// The name is that of neither a declaration nor a Markdown file.
+    #[error("{}: neither `.toml` nor `.md`; refused, as it may be mistyped", file.display())]
     UnknownFile {
         /// The file.
         file: PathBuf,
     },
-    /// It declares something outside every team's directory.
+    /// A file lies outside all teams' directories.
     #[error("{}: belongs to no team; allowed: DIR/<team>/<name>.toml", file.display())]
     NoTeam {
         /// The file.
         file: PathBuf,
     },
-    /// A directory is named like a declaration.
+    /// A directory has the name of a declaration.
     #[error("{}: a directory named as a declaration", file.display())]
     NamedAsFile {
         /// The directory.
         file: PathBuf,
     },
-    /// Its place in the directory makes no path.
+    /// The location of the entry does not map to a valid setting path.
     #[error("{}: {error}", file.display())]
     Path {
         /// The entry.
@@ -62,17 +64,17 @@
         /// What is wrong with the path.
         error: PathError,
     },
-    /// Its text is no declaration.
+    /// The text is not a valid declaration.
     #[error("{}:{fault} ({path})", file.display())]
     Text {
         /// The file.
         file: PathBuf,
-        /// The path it would declare.
+        /// The setting path that the file would declare.
         path: SettingPath,
-        /// Line, column and what is wrong there.
+        /// The fault with its line and column.
         fault: DeclarationFault,
     },
-    /// There are more entries than one directory of declarations has.
+    /// There are more than [`MAX_ENTRIES`] entries.
     #[error("{}: more than {MAX_ENTRIES} entries", directory.display())]
     TooMany {
         /// The directory.
@@ -80,7 +82,7 @@
     },
 }
 
-/// Everything that is wrong in a directory of declarations.
+/// All faults of a directory of declarations, at most [`MAX_FAULTS`].
 #[derive(Debug, Error)]
 pub struct DeclaredFaults(pub Vec<DeclaredFault>);
 
@@ -91,13 +93,13 @@
     }
 }
 
-/// Why one team's declarations are not given.
+/// Why one team's declarations cannot be read.
 #[derive(Debug, Error)]
 pub enum TeamError {
     /// The directory has faults.
     #[error(transparent)]
     Faults(#[from] DeclaredFaults),
-    /// The directory does not declare the team named.
+    /// The directory does not declare the given team.
     #[error("{} has no directory {team}", directory.display())]
     Missing {
         /// The directory.
@@ -105,14 +107,14 @@
         /// The team.
         team: TeamName,
     },
-    /// No team was named and the directory declares several.
-    #[error("{} declares several teams; name one by --team", directory.display())]
-    Several {
+    /// No team was given and the directory declares several.
+    #[error("{} declares several teams; choose one with --team", directory.display())]
+    Ambiguous {
         /// The directory.
         directory: PathBuf,
     },
     /// The directory declares no team.
-    #[error("{} has no directory of a team", directory.display())]
+    #[error("{} has no team directories", directory.display())]
     NoTeam {
         /// The directory.
         directory: PathBuf,
@@ -121,15 +123,15 @@
 
 /// Reads every team's declarations: `DIR/<team>/a/b.toml` declares `/<team>/a/b`.
 ///
-/// Hidden entries and `.md` files are passed over; any other name is a fault.
+/// Hidden entries and `.md` files are ignored; any other name is a fault.
 ///
 /// # Errors
 ///
-/// Returns every fault found, each with its file and what is allowed. Nothing is given then.
+/// Returns all faults found, each with its file and the allowed values.
 pub fn read_declarations(directory: &Path) -> Result<DeclaredTeams, DeclaredFaults> {
     let mut reader = DirectoryReader::default();
-    for entry in reader.list(directory) {
-        reader.read_top(&entry);
+    for entry in reader.list_entries(directory) {
+        reader.read_top_entry(&entry);
     }
     match reader.faults.is_empty() {
         true => Ok(reader.teams),
@@ -137,11 +139,11 @@
     }
 }
 
-/// Reads the declarations of one team: the one named, or the only one there is.
+/// Reads the declarations of one team: the given one, or the only one in the directory.
 ///
 /// # Errors
 ///
-/// Returns the faults of the directory, or that the team is not clear.
+/// Returns the faults of the directory, or a [`TeamError`] if the team is missing or ambiguous.
 pub fn read_team(
     directory: &Path,
     team: Option<&str>,
@@ -152,27 +154,28 @@
         Some(team) => teams
             .remove_entry(team)
             .ok_or_else(|| TeamError::Missing { directory, team: team.to_owned() }),
-        None if teams.len() > 1 => Err(TeamError::Several { directory }),
+        None if teams.len() > 1 => Err(TeamError::Ambiguous { directory }),
         None => teams.pop_first().ok_or(TeamError::NoTeam { directory }),
     }
 }
 
-/// What was read so far.
+/// Reads a directory and collects declarations and faults.
 #[derive(Default)]
 struct DirectoryReader {
     teams: DeclaredTeams,
     faults: Vec<DeclaredFault>,
-    entries: usize,
+    entry_count: usize,
 }
 
 impl DirectoryReader {
-    fn read_top(&mut self, entry: &Path) {
+    /// Reads an entry of the top directory, which must be a team's directory or a Markdown file.
+    fn read_top_entry(&mut self, entry: &Path) {
         let file = entry.to_owned();
-        let team = name_of(entry);
+        let team = file_name(entry);
         match check_team(&team) {
-            _ if !entry.is_dir() && is_note(entry) => (),
-            _ if !entry.is_dir() => self.fault(DeclaredFault::NoTeam { file }),
-            Err(error) => self.fault(DeclaredFault::Path { file, error }),
+            _ if !entry.is_dir() && is_markdown(entry) => (),
+            _ if !entry.is_dir() => self.add_fault(DeclaredFault::NoTeam { file }),
+            Err(error) => self.add_fault(DeclaredFault::Path { file, error }),
             Ok(()) => {
                 self.teams.entry(team.clone()).or_default();
                 self.read_directory(entry, &team, &format!("/{team}"));
@@ -180,26 +183,30 @@
         }
     }
 
+    /// Reads the entries of a team's directory or subdirectory, whose setting path is `prefix`.
     fn read_directory(&mut self, directory: &Path, team: &str, prefix: &str) {
-        for entry in self.list(directory) {
-            let path = format!("{prefix}/{}", name_of(&entry));
+        for entry in self.list_entries(directory) {
+            let path = format!("{prefix}/{}", file_name(&entry));
             match path.strip_suffix(".toml") {
-                _ if entry.is_dir() => self.read_inner(&entry, team, &path),
+                _ if entry.is_dir() => self.read_subdirectory(&entry, team, &path),
                 Some(path) => self.read_file(&entry, team, path),
-                None if is_note(&entry) => (),
-                None => self.fault(DeclaredFault::UnknownFile { file: entry }),
+                None if is_markdown(&entry) => (),
+                None => self.add_fault(DeclaredFault::UnknownFile { file: entry }),
             }
         }
     }
 
-    fn read_inner(&mut self, directory: &Path, team: &str, prefix: &str) {
+    /// Reads a subdirectory unless its name or the length of its path is invalid.
+    fn read_subdirectory(&mut self, directory: &Path, team: &str, prefix: &str) {
         let file = directory.to_owned();
         match prefix {
-            prefix if prefix.ends_with(".toml") => self.fault(DeclaredFault::NamedAsFile { file }),
-            // Also ends a walk through links that lead back to where they stand.
+            prefix if prefix.ends_with(".toml") => {
+                self.add_fault(DeclaredFault::NamedAsFile { file })
+            }
+            // Also ends the recursion through symbolic links that form a cycle.
             prefix if prefix.len() > MAX_PATH_BYTES => {
                 let error = PathError::TooLong(prefix.len());
-                self.fault(DeclaredFault::Path { file, error });
+                self.add_fault(DeclaredFault::Path { file, error });
             }
             prefix => self.read_directory(directory, team, prefix),
         }
@@ -211,29 +218,30 @@
                 let settings = self.teams.entry(team.to_owned()).or_default();
                 settings.insert(path.to_owned(), body);
             }
-            Err(fault) => self.fault(fault),
+            Err(fault) => self.add_fault(fault),
         }
     }
 
-    /// Lists the entries that are not hidden, by name.
-    fn list(&mut self, directory: &Path) -> Vec<PathBuf> {
+    /// Lists the entries that are not hidden, sorted by name. Lists none and records a fault if the
+    /// directory cannot be read or [`MAX_ENTRIES`] is exceeded.
+    fn list_entries(&mut self, directory: &Path) -> Vec<PathBuf> {
         let mut entries = match list_directory(directory) {
             Ok(entries) => entries,
             Err(source) => {
-                self.fault(DeclaredFault::Read { file: directory.to_owned(), source });
+                self.add_fault(DeclaredFault::Read { file: directory.to_owned(), source });
                 return Vec::new();
             }
         };
-        let is_full = self.entries + entries.len() > MAX_ENTRIES;
-        if is_full {
-            self.fault(DeclaredFault::TooMany { directory: directory.to_owned() });
+        let is_too_many = self.entry_count + entries.len() > MAX_ENTRIES;
+        if is_too_many {
+            self.add_fault(DeclaredFault::TooMany { directory: directory.to_owned() });
             entries.clear();
         }
-        self.entries += entries.len();
+        self.entry_count += entries.len();
         entries
     }
 
-    fn fault(&mut self, fault: DeclaredFault) {
+    fn add_fault(&mut self, fault: DeclaredFault) {
         if self.faults.len() < MAX_FAULTS {
             self.faults.push(fault);
         }
@@ -256,12 +264,13 @@
     })
 }
 
-/// Reads one byte more than is allowed at most, so that the parser's own bound refuses the rest.
+/// Reads a file up to 1 byte beyond [`MAX_DECLARATION_BYTES`], so that the parser refuses a larger
+/// file without the whole of it in memory.
 fn read_bounded(file: &Path) -> io::Result<String> {
     let mut bytes = Vec::new();
     fs::File::open(file)?.take(MAX_DECLARATION_BYTES as u64 + 1).read_to_end(&mut bytes)?;
     if bytes.len() > MAX_DECLARATION_BYTES {
-        // The cut may have split a character.
+        // The bound may split a character, which must not hide that the file is too large.
         return Ok(String::from_utf8_lossy(&bytes).into_owned());
     }
     String::from_utf8(bytes).map_err(|err| io::Error::new(io::ErrorKind::InvalidData, err))
@@ -272,16 +281,16 @@
     for entry in fs::read_dir(directory)? {
         entries.push(entry?.path());
     }
-    entries.retain(|entry| !name_of(entry).starts_with('.'));
+    entries.retain(|entry| !file_name(entry).starts_with('.'));
     entries.sort();
     Ok(entries)
 }
 
-fn is_note(path: &Path) -> bool {
+fn is_markdown(path: &Path) -> bool {
     path.extension().is_some_and(|extension| extension == "md")
 }
 
-/// Gives the name; bytes that are no text turn into a character that no path allows.
-fn name_of(path: &Path) -> String {
+/// Returns the file name; bytes that are not UTF-8 become a character that no setting path allows.
+fn file_name(path: &Path) -> String {
     path.file_name().unwrap_or_default().to_string_lossy().into_owned()
 }
--- a/src/diff.rs
+++ b/src/diff.rs
@@ -1,25 +1,26 @@
-//! Renders what a change writes as version control does.
+//! Renders the writes of a change as a unified diff of the settings' TOML, for review before an
+//! apply.
 
 use std::{cmp::max, collections::BTreeMap, fmt::Write};
 
 use sk_model::{SettingBody, SettingPath, SettingWrites, Version};
 
-/// Most lines that differ of which the longest common part is still looked for. Its table has the
-/// square of this; longer parts, such as a value that was replaced, are shown as replaced whole.
+/// Most differing lines for which the longest common subsequence is computed. Its table grows with
+/// the square of this; longer runs, such as a replaced value, are shown as removed and added.
 const MAX_ALIGNED_LINES: usize = 500;
 
-/// How many settings a change adds, changes and withdraws.
+/// Numbers of settings that a change adds, changes and withdraws.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WriteCounts {
-    /// Settings that were not there.
+    /// Settings that did not exist.
     pub added: usize,
-    /// Settings with another body.
+    /// Settings whose body is replaced.
     pub changed: usize,
     /// Settings withdrawn.
     pub withdrawn: usize,
 }
 
-/// Counts a change's writes by what they do to the accepted settings.
+/// Counts a change's writes by their effect on the accepted settings.
 pub fn count_writes(
     accepted: &BTreeMap<SettingPath, SettingBody>,
     writes: &SettingWrites,
@@ -36,6 +37,7 @@
 }
 
 /// Renders writes as a unified diff of each setting's TOML, with the whole setting as context.
+/// `version` is that of the accepted settings.
 pub fn render_writes(
     accepted: &BTreeMap<SettingPath, SettingBody>,
     version: Version,
@@ -70,7 +72,7 @@
     text.lines().map(str::to_owned).collect()
 }
 
-/// Gives the lines of both with ` ` for kept, `-` for removed and `+` for added.
+/// Returns the lines of both texts, marked ` ` for kept, `-` for removed and `+` for added.
 fn diff_lines<'a>(before: &'a [String], after: &'a [String]) -> Vec<(char, &'a str)> {
     let head = count_equal(before.iter(), after.iter());
     let (before_rest, after_rest) = (&before[head..], &after[head..]);
@@ -84,6 +86,7 @@
     lines
 }
 
+/// Counts the equal lines at the beginning of both.
 fn count_equal<'a>(
     first: impl Iterator<Item = &'a String>,
     second: impl Iterator<Item = &'a String>,
@@ -98,7 +101,7 @@
     if before.len().max(after.len()) > MAX_ALIGNED_LINES {
         return before.iter().map(removed).chain(after.iter().map(added)).collect();
     }
-    let common = common_lengths(before, after);
+    let common = common_suffix_lengths(before, after);
     let (mut old, mut new) = (0, 0);
     let mut lines = Vec::new();
     while old < before.len() && new < after.len() {
@@ -122,8 +125,9 @@
     lines
 }
 
-/// Gives the length of the longest common subsequence from each pair of lines on.
-fn common_lengths(before: &[String], after: &[String]) -> Vec<Vec<usize>> {
+/// Returns, for each pair of indexes, the length of the longest common subsequence of the rests
+/// that begin there.
+fn common_suffix_lengths(before: &[String], after: &[String]) -> Vec<Vec<usize>> {
     let mut common = vec![vec![0; after.len() + 1]; before.len() + 1];
     for old in (0..before.len()).rev() {
         for new in (0..after.len()).rev() {
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,5 @@
-//! The operator's command line.
+//! The operators' command line. Parses the arguments and runs one subcommand, whose outcome becomes
+//! the exit code.
 
 mod cli;
 mod client;
--- a/src/utc.rs
+++ b/src/utc.rs
@@ -1,4 +1,5 @@
-//! Times as operators read and write them.
+//! Times in the forms that operators read and write, always in UTC: two data centres would read
+//! local times differently.
 
 use std::{
     str::FromStr,
@@ -8,10 +9,10 @@
 use sk_model::UnixMillis;
 use thiserror::Error;
 
-/// Last millisecond of the year 9999.
-const LAST_MILLIS: UnixMillis = 253_402_300_799_999;
+/// Last millisecond of the year 9999, the greatest that RFC 3339 can express.
+const MAX_RFC3339_MILLIS: UnixMillis = 253_402_300_799_999;
 
-/// A time on the command line that cannot be read.
+/// A time on the command line that cannot be parsed.
 #[derive(Debug, Error)]
 #[error("{0:?} is neither milliseconds since 1970-01-01 UTC nor a time like 2026-12-03T08:15:00Z")]
 pub struct TimeError(String);
@@ -25,24 +26,24 @@
 
     /// # Errors
     ///
-    /// Returns a [`TimeError`] for a text that is neither.
+    /// Returns a [`TimeError`] for a text of neither form.
     fn from_str(text: &str) -> Result<Self, TimeError> {
         if let Ok(millis) = text.parse() {
             return Ok(Self(millis));
         }
         let time = humantime::parse_rfc3339_weak(text).map_err(|_| TimeError(text.to_owned()))?;
-        let since = time.duration_since(UNIX_EPOCH).map_err(|_| TimeError(text.to_owned()))?;
-        Ok(Self(since.as_millis() as UnixMillis))
+        let since_epoch =
+            time.duration_since(UNIX_EPOCH).map_err(|_| TimeError(text.to_owned()))?;
+        Ok(Self(since_epoch.as_millis() as UnixMillis))
     }
 }
 
-/// Writes a time for people, in UTC: two data centres would read local times differently. A dash
-/// stands for "never".
-pub fn utc_text(millis: UnixMillis) -> String {
+/// Formats a time as RFC 3339 in UTC with milliseconds. 0 means "never" and becomes a dash.
+pub fn format_utc(millis: UnixMillis) -> String {
     match millis {
         0 => "-".to_owned(),
-        // Beyond the last year that the form can write; a clock says so that was set wrongly.
-        millis if millis > LAST_MILLIS => millis.to_string(),
+        // A clock that was set wrongly can be beyond the last year of RFC 3339.
+        millis if millis > MAX_RFC3339_MILLIS => millis.to_string(),
         millis => {
             let time = UNIX_EPOCH + Duration::from_millis(millis);
             humantime::format_rfc3339_millis(time).to_string()
--- a/tests/cli_check.rs
+++ b/tests/cli_check.rs
@@ -69,7 +69,7 @@
             ./Team: path `Team` has the bad segment `Team`; allowed: a-z 0-9 - _ .
             ./ledvica/Upper.toml: path `/ledvica/Upper` has the bad segment `Upper`; allowed: a-z 0-9 - _ .
             ./ledvica/a.toml:3:1: unknown field `colour`, expected one of `description`, `connections`, `health_path` (/ledvica/a)
-            ./ledvica/b.tmol: neither `.toml` nor `.md`; a mistyped name would be dropped without a word
+            ./ledvica/b.tmol: neither `.toml` nor `.md`; refused, as it may be mistyped
             ./ledvica/dir.toml: a directory named as a declaration
             ./ledvica/large.toml:1:1: declaration is larger than 65536 bytes (/ledvica/large)
             ./ledvica/route.toml:3:1: `prefix` is x; allowed: a path that begins with `/` (/ledvica/route)
--- a/tests/settings_reload.rs
+++ b/tests/settings_reload.rs
@@ -31,7 +31,7 @@
     wait_for("the change to be seen", || has_said(&daemon, "service Some"));
 
     fs::write(&file, "[instance]\nname = 3\n").expect("settings can be written");
-    wait_for("the fault to be told", || has_said(&daemon, "settings are kept as they were"));
+    wait_for("the fault to be told", || has_said(&daemon, "new settings are invalid, the old ones stay in effect"));
     let answer = call(&daemon.address("proxy"), "GET", "/", "").expect("it still answers");
     assert!([404, 503].contains(&answer.status), "{answer:?}");
     let (status, printed) = daemon.terminate();
