--- a/src/bin/sk-backend.rs
+++ b/src/bin/sk-backend.rs
@@ -29,7 +29,7 @@
     /// Requests processed at once
     #[options(default = "12")]
     slots: u32,
-    /// Milliseconds of work a request takes
+    /// Milliseconds of work per request
     #[options(default = "1")]
     work_ms: u64,
     /// Open connections at once; more are closed unread
--- a/src/bin/sk-measure.rs
+++ b/src/bin/sk-measure.rs
@@ -72,7 +72,7 @@
     /// Seconds of each run
     #[options(default = "10")]
     seconds: u64,
-    /// Milliseconds of work a request takes at a backend server
+    /// Milliseconds of work per request at a backend server
     #[options(default = "1")]
     work_ms: u64,
     /// Backend servers
--- a/src/bin/sk-soak.rs
+++ b/src/bin/sk-soak.rs
@@ -113,7 +113,7 @@
         let is_sound = tokio::select! {
             is_sound = run => is_sound?,
             _ = tokio::signal::ctrl_c() => anyhow::bail!("interrupted"),
-            _ = terminate.recv() => anyhow::bail!("terminated"),
+            _ = terminate.recv() => anyhow::bail!("terminated by a signal"),
         };
         Ok(if is_sound { ExitCode::SUCCESS } else { ExitCode::from(FAILED_EXIT_CODE) })
     })
--- a/src/client.rs
+++ b/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to a daemon's operators' interface. An error says whether a change can have taken effect,
+//! Calls to a daemon's operators' interface. An error shows whether a change can have taken effect,
 //! so that a command never reports a change as refused that may be in force.
 
 use std::{path::Path, time::Duration};
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -73,8 +73,8 @@
     match faults.is_empty() {
         true => Ok(format!("{count} good declarations")),
         false => {
-            let directory = directory.display();
-            Err(faults.iter().map(|fault| format!("{directory}: {fault}")).collect())
+            let name = directory.display();
+            Err(faults.iter().map(|fault| format!("{name}: {fault}")).collect())
         }
     }
 }
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -150,10 +150,10 @@
     print!("\n{}", render_report(&report));
 
     // The second data centre has no server of the treatment records.
-    let proxy = fleet.daemons[2].addresses().proxy;
+    let entry = fleet.daemons[2].addresses().proxy;
     println!(
-        "\nGET /treatments/7 at {proxy}\n{}",
-        wait_served(proxy, "/treatments/7").await?.trim()
+        "\nGET /treatments/7 at {entry}\n{}",
+        wait_served(entry, "/treatments/7").await?.trim()
     );
 
     let before = read_control_bytes(fleet).await?;
@@ -164,7 +164,7 @@
     print!("\n{}", render_report(&report));
     let after = read_control_bytes(fleet).await?;
     println!("\ncontrol bytes sent by all daemons meanwhile: {}", after - before);
-    println!("GET /holdover/7 at {proxy}\n{}", wait_served(proxy, "/holdover/7").await?.trim());
+    println!("GET /holdover/7 at {entry}\n{}", wait_served(entry, "/holdover/7").await?.trim());
     Ok(())
 }
 
@@ -214,12 +214,13 @@
     }
 }
 
-/// Requests a path until a server answers with success, and returns the body.
-async fn wait_served(proxy: SocketAddr, path: &str) -> anyhow::Result<String> {
+/// Requests a path at the daemon with this proxy address until the answer is a success, and returns
+/// its body.
+async fn wait_served(entry: SocketAddr, path: &str) -> anyhow::Result<String> {
     let client = Client::builder(TokioExecutor::new()).build_http::<Empty<Bytes>>();
     let begin = Instant::now();
     loop {
-        let response = client.get(format!("http://{proxy}{path}").parse()?).await?;
+        let response = client.get(format!("http://{entry}{path}").parse()?).await?;
         let status = response.status();
         let body = response.into_body().collect().await?.to_bytes();
         if status.is_success() {
--- a/src/declared.rs
+++ b/src/declared.rs
@@ -171,7 +171,7 @@
     /// Reads an entry of the top directory, which must be a team's directory or a Markdown file.
     fn read_top_entry(&mut self, entry: &Path) {
         let file = entry.to_owned();
-        let team = file_name(entry);
+        let team = entry_name(entry);
         match check_team(&team) {
             _ if !entry.is_dir() && is_markdown(entry) => (),
             _ if !entry.is_dir() => self.add_fault(DeclaredFault::NoTeam { file }),
@@ -186,7 +186,7 @@
     /// Reads the entries of a team's directory or subdirectory, whose setting path is `prefix`.
     fn read_directory(&mut self, directory: &Path, team: &str, prefix: &str) {
         for entry in self.list_entries(directory) {
-            let path = format!("{prefix}/{}", file_name(&entry));
+            let path = format!("{prefix}/{}", entry_name(&entry));
             match path.strip_suffix(".toml") {
                 _ if entry.is_dir() => self.read_subdirectory(&entry, team, &path),
                 Some(path) => self.read_file(&entry, team, path),
@@ -281,7 +281,7 @@
     for entry in fs::read_dir(directory)? {
         entries.push(entry?.path());
     }
-    entries.retain(|entry| !file_name(entry).starts_with('.'));
+    entries.retain(|entry| !entry_name(entry).starts_with('.'));
     entries.sort();
     Ok(entries)
 }
@@ -291,6 +291,6 @@
 }
 
 /// Returns the file name; bytes that are not UTF-8 become a character that no setting path allows.
-fn file_name(path: &Path) -> String {
+fn entry_name(path: &Path) -> String {
     path.file_name().unwrap_or_default().to_string_lossy().into_owned()
 }
