--- a/tests/accept_faults.rs
+++ b/tests/accept_faults.rs
@@ -1,10 +1,11 @@
-//! Accepting changes while operators race and the platform fails.
+//! Acceptance of changes during races between operators and faults of the platform.
 
 mod common;
 
 use common::{
-    DaemonPlan, MANAGER_TOKEN, TEAM_TOKEN, TestDirectory, TestProcess, call_body, in_force,
-    operate, platform_address, render, start_daemon, start_platform, wait_for,
+    DaemonPlan, MANAGER_TOKEN, TEAM_TOKEN, TestDirectory, TestProcess, call_with_body,
+    platform_address, read_in_force, render_output, run_cli, start_daemon, start_platform,
+    wait_for,
 };
 
 const SERVICE: &str = "kind = \"service\"\n";
@@ -32,10 +33,10 @@
         daemons.push(start_daemon(&directory.0, &plan));
     }
     let fleet = TestFleet { platform, daemons, directory };
-    wait_for("the daemons to meet", || in_force(&fleet.ops(0)).1 == 2);
+    wait_for("the daemons to join", || read_in_force(&fleet.ops(0)).1 == 2);
     let hash = sk_ops::hash_token(TEAM_TOKEN);
-    let output = operate(&fleet.ops(0), MANAGER_TOKEN, &["team", "ana", "--token-sha256", &hash]);
-    assert!(output.status.success(), "{}", render(&output));
+    let output = run_cli(&fleet.ops(0), MANAGER_TOKEN, &["team", "ana", "--token-sha256", &hash]);
+    assert!(output.status.success(), "{}", render_output(&output));
     fleet
 }
 
@@ -44,6 +45,7 @@
         self.daemons[index].address("ops")
     }
 
+    /// Writes a declaration of one service and returns its directory.
     fn declare(&self, folder: &str, name: &str) -> String {
         self.directory.write(&format!("{folder}/ana/{name}.toml"), SERVICE);
         self.directory.0.join(folder).to_str().expect("path is text").to_owned()
@@ -51,23 +53,25 @@
 
     fn apply(&self, index: usize, folder: &str, author: &str) -> std::process::Output {
         let args = ["apply", folder, "--revision", "r1", "--author", author];
-        operate(&self.ops(index), TEAM_TOKEN, &args)
+        run_cli(&self.ops(index), TEAM_TOKEN, &args)
     }
 
     fn set_faults(&self, faults: &str) {
         let platform = platform_address(&self.platform);
-        let answer = call_body(&platform, "PUT", "/v1/faults", faults).expect("platform answers");
+        let answer =
+            call_with_body(&platform, "PUT", "/v1/faults", faults).expect("platform answers");
         assert_eq!(answer.status, 204, "{answer:?}");
     }
 
+    /// Returns the report of the team's accepted changes.
     fn history(&self) -> String {
-        let output = operate(&self.ops(0), MANAGER_TOKEN, &["report", "--team", "ana"]);
+        let output = run_cli(&self.ops(0), MANAGER_TOKEN, &["report", "--team", "ana"]);
         String::from_utf8_lossy(&output.stdout).into_owned()
     }
 }
 
-// Two operators of one team change it at the same moment through different daemons. Without the
-// condition on what each saw, the later write would silently undo the earlier one.
+// Two operators of one team apply changes at the same time through different daemons. Without the
+// condition on the version that each has read, the later write would silently undo the earlier one.
 #[test]
 fn operators_race() {
     let fleet = start_fleet("operators_race");
@@ -78,14 +82,15 @@
         let second = scope.spawn(move || fleet.apply(1, &second, "bor"));
         [first, second].into_iter().map(|thread| thread.join().expect("operator")).collect()
     });
-    let won = outputs.iter().filter(|output| output.status.success()).count();
+    let accepted = outputs.iter().filter(|output| output.status.success()).count();
     let history = fleet.history();
-    // Either one was refused, or the second to come saw the first and replaced it knowingly.
-    match won {
+    // Either one was refused, or the second had read the first and replaced it knowingly.
+    match accepted {
         1 => {
-            let lost = outputs.iter().find(|output| !output.status.success()).expect("one lost");
-            assert_eq!(lost.status.code(), Some(1));
-            assert!(render(lost).contains("version 1 by"), "{}", render(lost));
+            let refused = outputs.iter().find(|output| !output.status.success());
+            let refused = refused.expect("one was refused");
+            assert_eq!(refused.status.code(), Some(1));
+            assert!(render_output(refused).contains("version 1 by"), "{}", render_output(refused));
             assert!(!history.contains("version 2"), "{history}");
         }
         2 => assert!(history.contains("withdrew /ana/"), "{history}"),
@@ -93,45 +98,45 @@
     }
 }
 
-// The platform takes the commit and its answer is lost on the way back. Telling the operator that
-// it failed would be untrue, and trying again blindly would make a second version of it.
+// The platform accepts the commit, but its answer is lost. A failure reported to the operator would
+// be false, and a blind retry would create a second version.
 #[test]
 fn lost_answer() {
     let fleet = start_fleet("lost_answer");
     let folder = fleet.declare("first", "one");
     fleet.set_faults("{\"lose_write_answers\": 3}");
     let output = fleet.apply(0, &folder, "ana");
-    assert!(output.status.success(), "{}", render(&output));
+    assert!(output.status.success(), "{}", render_output(&output));
     let history = fleet.history();
     assert_eq!(history.matches("version ").count(), 1, "{history}");
     assert!(history.contains("wrote /ana/one"), "{history}");
 }
 
-// The platform is away while an operator applies a change. The operator must not be told that it
-// is accepted, and the same command must work once the platform is back.
+// The platform is unavailable while an operator applies a change. The change must not be reported
+// as accepted, and the same command must succeed once the platform is available again.
 #[test]
 fn platform_outage() {
     let fleet = start_fleet("platform_outage");
     let folder = fleet.declare("first", "one");
     fleet.set_faults("{\"is_down\": true}");
     let output = fleet.apply(0, &folder, "ana");
-    assert_eq!(output.status.code(), Some(1), "{}", render(&output));
-    assert!(render(&output).contains("come back"), "{}", render(&output));
+    assert_eq!(output.status.code(), Some(1), "{}", render_output(&output));
+    assert!(render_output(&output).contains("come back"), "{}", render_output(&output));
     fleet.set_faults("{}");
     let output = fleet.apply(0, &folder, "ana");
-    assert!(output.status.success(), "{}", render(&output));
+    assert!(output.status.success(), "{}", render_output(&output));
     assert_eq!(fleet.history().matches("version ").count(), 1);
-    wait_for("2 of 2 in force", || in_force(&fleet.ops(0)) == (2, 2));
+    wait_for("2 of 2 in force", || read_in_force(&fleet.ops(0)) == (2, 2));
 }
 
-// A team picks a change id that another team has used. The refusal must not show what the other
+// A team uses a change id that another team has used. The refusal must not reveal what the other
 // team changed.
 #[test]
 fn foreign_id() {
     let fleet = start_fleet("foreign_id");
     let hash = sk_ops::hash_token("bor token");
     let team = ["team", "bor", "--token-sha256", &hash];
-    assert!(operate(&fleet.ops(0), MANAGER_TOKEN, &team).status.success());
+    assert!(run_cli(&fleet.ops(0), MANAGER_TOKEN, &team).status.success());
     let change = |team: &str| {
         format!(
             r#"{{"change_id":"x","team":"{team}","author":"a","revision":"1","base":0,
@@ -149,7 +154,7 @@
     assert!(!answer.body.contains("/ana/"), "{answer:?}");
 }
 
-// A team's token is used on another team's subtree, by a path inside a change of its own.
+// A team's token must not change another team's subtree, through a path inside a change of its own.
 #[test]
 fn foreign_subtree() {
     let fleet = start_fleet("foreign_subtree");
--- a/tests/cli_check.rs
+++ b/tests/cli_check.rs
@@ -1,14 +1,15 @@
-//! `check` names each fault's file, line and key, and drops nothing without a word.
+//! `check` prints the file, line and key of each fault, and ignores no entry silently.
 
 mod common;
 
 use std::process::{Command, Output};
 
-use common::{TestDirectory, render};
+use common::{TestDirectory, render_output};
 use expect_test::{Expect, expect};
 
 const SERVICE: &str = "kind = \"service\"\n";
 
+/// Runs the command line in a directory.
 fn run(args: &[&str], directory: &TestDirectory) -> Output {
     Command::new(env!("CARGO_BIN_EXE_sapphirekeel"))
         .args(args)
@@ -18,8 +19,9 @@
         .expect("command line runs")
 }
 
+/// Checks the directory and compares the output.
 fn check(directory: &TestDirectory, expected: Expect) {
-    expected.assert_eq(&render(&run(&["check", "."], directory)));
+    expected.assert_eq(&render_output(&run(&["check", "."], directory)));
 }
 
 #[test]
@@ -49,7 +51,7 @@
         ]
         exit 0
     "#]]
-    .assert_eq(&render(&output));
+    .assert_eq(&render_output(&output));
 }
 
 #[test]
@@ -96,13 +98,13 @@
 }
 
 #[test]
-fn endless_links() {
+fn cyclic_links() {
     let directory = TestDirectory::new("check_links");
     directory.write("ledvica/a.toml", SERVICE);
     std::os::unix::fs::symlink(&directory.0, directory.0.join("ledvica/link")).expect("link");
     let output = run(&["check", "."], &directory);
     assert_eq!(output.status.code(), Some(1));
-    assert!(render(&output).contains("bytes are too long"), "{}", render(&output));
+    assert!(render_output(&output).contains("bytes are too long"), "{}", render_output(&output));
 }
 
 #[test]
@@ -115,7 +117,7 @@
         missing.toml: No such file or directory (os error 2)
         exit 1
     "#]]
-    .assert_eq(&render(&output));
+    .assert_eq(&render_output(&output));
 }
 
 #[test]
@@ -123,7 +125,7 @@
     let directory = TestDirectory::new("check_usage");
     for args in [&[][..], &["chekc"], &["check"], &["plan"], &["get"], &["apply", "."]] {
         let output = run(args, &directory);
-        assert_eq!(output.status.code(), Some(2), "{args:?}: {}", render(&output));
+        assert_eq!(output.status.code(), Some(2), "{args:?}: {}", render_output(&output));
     }
 }
 
@@ -133,19 +135,27 @@
     let commands = ["demo", "check", "plan", "apply", "withdraw", "get", "report", "state", "team"];
     for command in commands {
         let output = run(&[command, "--help"], &directory);
-        assert!(output.status.success(), "{command}: {}", render(&output));
-        assert!(render(&output).contains("--help"), "{command}: {}", render(&output));
-        assert!(!render(&output).contains("Arguments of"), "{command}: {}", render(&output));
+        assert!(output.status.success(), "{command}: {}", render_output(&output));
+        assert!(render_output(&output).contains("--help"), "{command}: {}", render_output(&output));
+        assert!(
+            !render_output(&output).contains("Arguments of"),
+            "{command}: {}",
+            render_output(&output)
+        );
     }
     let output = run(&["check", "--help"], &directory);
-    assert!(render(&output).contains("Any other name is refused"), "{}", render(&output));
+    assert!(
+        render_output(&output).contains("Any other name is refused"),
+        "{}",
+        render_output(&output)
+    );
 }
 
 #[test]
 fn bad_time() {
-    // A time that the command line took for something else would show changes of another day.
+    // A misread time would show changes of another day.
     let directory = TestDirectory::new("check_time");
     let output = run(&["report", "--until", "yesterday"], &directory);
     assert_eq!(output.status.code(), Some(2));
-    assert!(render(&output).contains("neither milliseconds"), "{}", render(&output));
+    assert!(render_output(&output).contains("neither milliseconds"), "{}", render_output(&output));
 }
--- a/tests/cli_lost.rs
+++ b/tests/cli_lost_answers.rs
@@ -1,4 +1,4 @@
-//! Changes whose answer does not come, and daemons that are away.
+//! Commands whose answer is lost, and daemons that cannot be reached.
 
 mod common;
 
@@ -9,14 +9,14 @@
     thread,
 };
 
-use common::{TestDirectory, operate, render};
+use common::{TestDirectory, render_output, run_cli};
 
-/// What a daemon of the test's own does with one request: an answer, or none for a lost one.
-type Answer = Option<(u16, String)>;
+/// Answer of a fake daemon to one request, or `None` to close the connection without one.
+type FakeAnswer = Option<(u16, String)>;
 
-/// Serves until the test ends; gives the address and the requests seen.
+/// Starts a fake daemon and returns its address and the request lines that it receives.
 fn start_fake(
-    mut answer: impl FnMut(&str) -> Answer + Send + 'static,
+    mut answer: impl FnMut(&str) -> FakeAnswer + Send + 'static,
 ) -> (String, Arc<Mutex<Vec<String>>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("address").to_string();
@@ -39,6 +39,7 @@
     (address, seen)
 }
 
+/// Reads a request and returns its method and path.
 fn read_request(stream: &TcpStream) -> Option<String> {
     let mut reader = BufReader::new(stream);
     let (mut first, mut length) = (String::new(), 0);
@@ -66,7 +67,7 @@
 fn apply(daemon: &str, directory: &TestDirectory) -> std::process::Output {
     let directory = directory.0.to_str().expect("path");
     let args = ["apply", directory, "--revision", "r", "--author", "ana", "--change-id", "c1"];
-    operate(daemon, "token", &args)
+    run_cli(daemon, "token", &args)
 }
 
 fn record(author: &str) -> String {
@@ -81,8 +82,8 @@
 
 #[test]
 fn lost_but_accepted() {
-    // The daemon's answer is lost after the change has taken effect. Without asking again the
-    // operator would see a failure although the change is in force.
+    // The daemon's answer is lost after the change has taken effect. Without a lookup the operator
+    // would see a failure although the change is in force.
     let mut lookups = 0;
     let (daemon, _) = start_fake(move |line| match line {
         "POST /v1/changes" => None,
@@ -96,22 +97,30 @@
         _ => Some((200, EMPTY.to_owned())),
     });
     let output = apply(&daemon, &declare("lost_accepted"));
-    assert_eq!(output.status.code(), Some(0), "{}", render(&output));
-    assert!(render(&output).contains("accepted as version 1 (change c1)"), "{}", render(&output));
+    assert_eq!(output.status.code(), Some(0), "{}", render_output(&output));
+    assert!(
+        render_output(&output).contains("accepted as version 1 (change c1)"),
+        "{}",
+        render_output(&output)
+    );
 }
 
 #[test]
-fn lost_for_good() {
-    // Neither the answer nor a later look tells what became of the change. The operator must see
-    // that it is unknown, and by which id to ask, instead of a refusal.
+fn outcome_unknown() {
+    // Neither the answer nor a lookup gives the outcome of the change. The operator must see that
+    // it is unknown, with the id for further lookups, instead of a refusal.
     let (daemon, seen) = start_fake(|line| match line {
         "POST /v1/changes" => None,
         "GET /v1/changes/c1" => Some((404, NOT_FOUND.to_owned())),
         _ => Some((200, EMPTY.to_owned())),
     });
     let output = apply(&daemon, &declare("lost_for_good"));
-    assert_eq!(output.status.code(), Some(3), "{}", render(&output));
-    assert!(render(&output).contains("change c1 takes effect at most once"), "{}", render(&output));
+    assert_eq!(output.status.code(), Some(3), "{}", render_output(&output));
+    assert!(
+        render_output(&output).contains("change c1 takes effect at most once"),
+        "{}",
+        render_output(&output)
+    );
     let seen = seen.lock().expect("log");
     assert_eq!(seen.iter().filter(|line| line.starts_with("POST")).count(), 1, "{seen:?}");
     assert_eq!(seen.iter().filter(|line| line.ends_with("/c1")).count(), 6, "{seen:?}");
@@ -119,61 +128,65 @@
 
 #[test]
 fn another_change() {
-    // Another operator's change has the id already. Taking its record for our own would call a
-    // change accepted that never was.
+    // Another operator's change already has the id. Its record must not be mistaken for that of
+    // this change, which was never accepted.
     let (daemon, _) = start_fake(|line| match line {
         "POST /v1/changes" => None,
         "GET /v1/changes/c1" => Some((200, record("bor"))),
         _ => Some((200, EMPTY.to_owned())),
     });
     let output = apply(&daemon, &declare("another_change"));
-    assert_eq!(output.status.code(), Some(1), "{}", render(&output));
+    assert_eq!(output.status.code(), Some(1), "{}", render_output(&output));
 }
 
 #[test]
-fn answer_lacks() {
-    // A daemon of another version answers without what is accepted. Going on would submit writes
-    // on a base that nobody saw.
+fn incomplete_answer() {
+    // A daemon of another version answers without the accepted settings. The command must not
+    // submit writes on a base that it has not read.
     let (daemon, seen) = start_fake(|_| Some((200, "{\"version\":3}".to_owned())));
     let output = apply(&daemon, &declare("answer_lacks"));
-    assert_eq!(output.status.code(), Some(1), "{}", render(&output));
+    assert_eq!(output.status.code(), Some(1), "{}", render_output(&output));
     let seen = seen.lock().expect("log");
     assert!(seen.iter().all(|line| line.starts_with("GET")), "{seen:?}");
 }
 
 #[test]
-fn daemon_away() {
-    // Nobody listens at the address, so nothing was sent and the command may simply be run again.
+fn daemon_unreachable() {
+    // No process listens at the address, so nothing was sent and the command may be run again.
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("address").to_string();
     drop(listener);
     let output = apply(&address, &declare("daemon_away"));
-    assert_eq!(output.status.code(), Some(1), "{}", render(&output));
-    assert!(render(&output).contains("nothing was done"), "{}", render(&output));
-    let output = operate(&address, "token", &["team", "t", "--token-sha256", &"0".repeat(64)]);
-    assert_eq!(output.status.code(), Some(1), "{}", render(&output));
+    assert_eq!(output.status.code(), Some(1), "{}", render_output(&output));
+    assert!(render_output(&output).contains("nothing was done"), "{}", render_output(&output));
+    let output = run_cli(&address, "token", &["team", "t", "--token-sha256", &"0".repeat(64)]);
+    assert_eq!(output.status.code(), Some(1), "{}", render_output(&output));
 }
 
 #[test]
 fn too_many_writes() {
-    // A directory holds more than one change may write. The daemon would refuse it after the whole
-    // of it was sent.
+    // A directory has more settings than one change may write. Without a check beforehand, the
+    // daemon would refuse the change only after all of it was sent.
     let (daemon, seen) = start_fake(|_| Some((200, EMPTY.to_owned())));
     let directory = TestDirectory::new("too_many_writes");
     for index in 0..1001 {
         directory.write(&format!("t/s{index}.toml"), "kind = \"service\"\n");
     }
     let output = apply(&daemon, &directory);
-    assert_eq!(output.status.code(), Some(1), "{}", render(&output));
-    assert!(render(&output).contains("1001 writes are more than the 1000"), "{}", render(&output));
+    assert_eq!(output.status.code(), Some(1), "{}", render_output(&output));
+    assert!(
+        render_output(&output).contains("1001 writes are more than the 1000"),
+        "{}",
+        render_output(&output)
+    );
     let seen = seen.lock().expect("log");
     assert!(seen.iter().all(|line| line.starts_with("GET")), "{seen:?}");
 }
 
 #[test]
 fn wait_without_token() {
-    // The token for reading the report is missing. Finding that out only after the submit would
-    // end in a usage error although the change is in force.
+    // The token for the report is missing. If this was noticed only after the submit, the command
+    // would end in a usage error although the change is in force.
     let (daemon, seen) = start_fake(|_| Some((200, EMPTY.to_owned())));
     let directory = declare("wait_without_token");
     let output = std::process::Command::new(env!("CARGO_BIN_EXE_sapphirekeel"))
@@ -182,11 +195,12 @@
         .env_remove("SAPPHIREKEEL_MANAGER_TOKEN")
         .output()
         .expect("command line runs");
-    assert_eq!(output.status.code(), Some(2), "{}", render(&output));
+    assert_eq!(output.status.code(), Some(2), "{}", render_output(&output));
     assert!(seen.lock().expect("log").is_empty());
 }
 
-fn wait(name: &str, report: &'static str, bound: &str) -> std::process::Output {
+/// Applies a change with `--wait` at a fake daemon that gives a report, or refuses if it is empty.
+fn apply_and_wait(name: &str, report: &'static str, bound: &str) -> std::process::Output {
     let (daemon, _) = start_fake(move |line| match line {
         "POST /v1/changes" => Some((200, record("ana"))),
         "GET /v1/report" => match report {
@@ -197,7 +211,7 @@
     });
     let directory = declare(name);
     let args = ["apply", directory.0.to_str().expect("path"), "--revision", "r", "--author", "ana"];
-    operate(&daemon, "token", &[&args[..], &["--wait", "--wait-bound", bound]].concat())
+    run_cli(&daemon, "token", &[&args[..], &["--wait", "--wait-bound", bound]].concat())
 }
 
 const REPORT: &str = "{\"version\":1,\"change\":null,\"in_force\":1,\"total\":4,\
@@ -213,20 +227,24 @@
 
 #[test]
 fn missing_named() {
-    // One proxy lags, another refused the version and a third, which held it, cannot be reached, so
-    // that what it holds now is not known. The operator must learn which ones when the
-    // bound has passed, and must not be told that the change is in force everywhere.
-    let output = wait("missing_named", REPORT, "1");
-    assert_eq!(output.status.code(), Some(3), "{}", render(&output));
-    assert!(render(&output).contains("in force on 1 of 4"), "{}", render(&output));
-    assert!(render(&output).contains("in time on p2 p3 p4"), "{}", render(&output));
+    // One proxy lags, another rejected the version, and a third had it in force but is unreachable,
+    // so that its present version is not known. After the timeout the command must name these
+    // proxies and must not report the change as in force everywhere.
+    let output = apply_and_wait("missing_named", REPORT, "1");
+    assert_eq!(output.status.code(), Some(3), "{}", render_output(&output));
+    assert!(render_output(&output).contains("in force on 1 of 4"), "{}", render_output(&output));
+    assert!(render_output(&output).contains("in time on p2 p3 p4"), "{}", render_output(&output));
 }
 
 #[test]
-fn report_away() {
-    // The platform goes away after the change was accepted. A refusal would make the operator
-    // submit again what is in force already.
-    let output = wait("report_away", "", "1");
-    assert_eq!(output.status.code(), Some(3), "{}", render(&output));
-    assert!(render(&output).contains("accepted, but not seen in force"), "{}", render(&output));
+fn report_unavailable() {
+    // The platform becomes unavailable after the change was accepted. On a refusal the operator
+    // would submit again what is already in force.
+    let output = apply_and_wait("report_away", "", "1");
+    assert_eq!(output.status.code(), Some(3), "{}", render_output(&output));
+    assert!(
+        render_output(&output).contains("accepted, but not seen in force"),
+        "{}",
+        render_output(&output)
+    );
 }
--- a/tests/cli_session.rs
+++ b/tests/cli_session.rs
@@ -1,4 +1,5 @@
-//! A whole operator's day at the command line, over a platform and two daemons.
+//! A session of operators at the command line, with a platform and 2 daemons as processes. The
+//! output is compared with a golden file.
 
 mod common;
 
@@ -12,8 +13,8 @@
 };
 
 use common::{
-    DaemonPlan, MANAGER_TOKEN, TEAM_TOKEN, TestDirectory, TestProcess, in_force, is_utc, operate,
-    platform_address, render, start_daemon, start_platform, wait_for,
+    DaemonPlan, MANAGER_TOKEN, TEAM_TOKEN, TestDirectory, TestProcess, is_utc, platform_address,
+    read_in_force, render_output, run_cli, start_daemon, start_platform, wait_for,
 };
 use expect_test::expect_file;
 use serde_json::Value;
@@ -21,11 +22,12 @@
 const FIRST: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/declarations/first");
 const SECOND: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/declarations/second");
 const DAEMONS: [(&str, &str); 2] = [("lj1-board-1", "lj1"), ("lj2-board-1", "lj2")];
-const TIME_DIGITS: usize = 13;
+/// Digits of a present time in Unix milliseconds.
+const UNIX_MS_DIGITS: usize = 13;
 
-/// Passes connections on to a daemon and calls `before_post` before the first submit goes through,
-/// as if another operator had been a moment quicker.
-fn start_relay(daemon: String, before_post: impl FnOnce() + Send + 'static) -> String {
+/// Relays connections to a daemon and calls `before_post` before the first submit is forwarded, as
+/// if another operator had submitted shortly before.
+fn start_racing_relay(daemon: String, before_post: impl FnOnce() + Send + 'static) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("address").to_string();
     thread::spawn(move || {
@@ -54,24 +56,25 @@
     address
 }
 
-/// Replaces times, durations and the daemon a version came from, which differ from run to run.
+/// Replaces times, durations and the source of a version, which differ from run to run.
 fn normalise(text: &str) -> String {
     let lines = text.lines().filter(|line| !is_progress(line));
     let hide = |line: &str| hide_source(&hide_durations(&hide_times(&hide_utc(line))));
     lines.map(|line| hide(line) + "\n").collect()
 }
 
-/// Tells whether a line is progress that a quick fleet skips.
+/// Returns whether a line is a progress message that a fast fleet skips.
 fn is_progress(line: &str) -> bool {
     matches!(line, "in force on 0 of 2" | "in force on 1 of 2")
 }
 
-/// Replaces times like 2026-12-03T08:15:00.123Z, and only what has that form to the letter.
+/// Replaces times of exactly the form 2026-12-03T08:15:00.123Z.
 fn hide_utc(line: &str) -> String {
     let words = line.split(' ').map(|word| if is_utc(word) { "<utc>" } else { word });
     words.collect::<Vec<_>>().join(" ")
 }
 
+/// Replaces times in Unix milliseconds.
 fn hide_times(line: &str) -> String {
     let mut text = String::new();
     let mut rest = line;
@@ -79,12 +82,13 @@
         let digits = rest[start..].bytes().take_while(u8::is_ascii_digit).count();
         let number = &rest[start..start + digits];
         text.push_str(&rest[..start]);
-        text.push_str(if digits == TIME_DIGITS { "<time>" } else { number });
+        text.push_str(if digits == UNIX_MS_DIGITS { "<time>" } else { number });
         rest = &rest[start + digits..];
     }
     text + rest
 }
 
+/// Replaces numbers before `ms`.
 fn hide_durations(line: &str) -> String {
     let words: Vec<&str> = line.split(' ').collect();
     let is_duration =
@@ -96,6 +100,7 @@
     words.iter().enumerate().map(word).collect::<Vec<_>>().join(" ")
 }
 
+/// Replaces the source in a row of the report, as a table or as comma-separated values.
 fn hide_source(line: &str) -> String {
     let is_row = DAEMONS.iter().any(|(name, _)| line.starts_with(name));
     let separator = if line.contains(',') { "," } else { " " };
@@ -109,18 +114,18 @@
     }
 }
 
-/// Renders what a script can rely on of a JSON answer: its keys and types.
-fn shape(value: &Value, indent: usize, text: &mut String) {
+/// Renders the keys and types of a JSON answer, which scripts rely on.
+fn render_shape(value: &Value, indent: usize, text: &mut String) {
     let margin = "  ".repeat(indent);
     match value {
         Value::Object(fields) => {
             for (name, value) in fields {
                 let _ = writeln!(text, "{margin}{name}: {}", type_of(value));
-                shape(value, indent + 1, text);
+                render_shape(value, indent + 1, text);
             }
         }
         Value::Array(values) => {
-            values.iter().take(1).for_each(|value| shape(value, indent + 1, text));
+            values.iter().take(1).for_each(|value| render_shape(value, indent + 1, text));
         }
         _ => (),
     }
@@ -137,29 +142,34 @@
     }
 }
 
-struct DaySession {
+/// Commands run so far, as the text of the golden file.
+struct CliSession {
+    /// Address that the commands call.
     ops: String,
     text: String,
 }
 
-impl DaySession {
+impl CliSession {
+    /// Runs a command and records its normalised output.
     fn step(&mut self, token: &str, args: &[&str]) {
         let shown: Vec<&str> = args.iter().map(|arg| show_arg(arg)).collect();
-        let output = operate(&self.ops, token, args);
-        let printed = normalise(&render(&output));
+        let output = run_cli(&self.ops, token, args);
+        let printed = normalise(&render_output(&output));
         let _ = writeln!(self.text, "$ sapphirekeel {}\n{printed}", shown.join(" "));
     }
 
+    /// Runs a command that must succeed and records the shape of its JSON.
     fn step_json(&mut self, token: &str, args: &[&str]) {
-        let output = operate(&self.ops, token, args);
-        assert!(output.status.success(), "{}", render(&output));
+        let output = run_cli(&self.ops, token, args);
+        assert!(output.status.success(), "{}", render_output(&output));
         let value: Value = serde_json::from_slice(&output.stdout).expect("JSON");
         let _ = writeln!(self.text, "$ sapphirekeel {} (shape)", args.join(" "));
-        shape(&value, 0, &mut self.text);
+        render_shape(&value, 0, &mut self.text);
         self.text.push('\n');
     }
 }
 
+/// Replaces hashes and directories by names that do not differ from run to run.
 fn show_arg(arg: &str) -> &str {
     match arg {
         arg if arg.len() == 64 => "HASH",
@@ -170,7 +180,7 @@
     }
 }
 
-/// Copies the first declarations with another deadline, as a second operator's checkout.
+/// Copies the first declarations with another deadline, as the checkout of a second operator.
 fn write_other(directory: &TestDirectory) {
     for name in ["queue-board", "treatment-records", "routes/board", "routes/treatments"] {
         let file = format!("ledvica/{name}.toml");
@@ -180,7 +190,7 @@
 }
 
 #[test]
-fn operator_day() {
+fn operator_session() {
     let directory = TestDirectory::new("operator_day");
     let platform = start_platform();
     let address = platform_address(&platform);
@@ -191,55 +201,55 @@
         daemons.push(start_daemon(&directory.0, &plan));
     }
     let ops = daemons[0].address("ops");
-    wait_for("both daemons to meet", || in_force(&ops).1 == 2);
-    let mut day = DaySession { ops: ops.clone(), text: String::new() };
+    wait_for("both daemons to join", || read_in_force(&ops).1 == 2);
+    let mut session = CliSession { ops: ops.clone(), text: String::new() };
     let by = ["--revision", "4f2a", "--author", "ana"];
     let hash = sk_ops::hash_token(TEAM_TOKEN);
 
-    day.step(MANAGER_TOKEN, &["team", "ledvica", "--token-sha256", &hash]);
-    day.step(TEAM_TOKEN, &["plan", FIRST]);
-    day.step(TEAM_TOKEN, &[&["apply", FIRST, "--wait"], &by[..]].concat());
-    day.step(TEAM_TOKEN, &["plan", SECOND]);
+    session.step(MANAGER_TOKEN, &["team", "ledvica", "--token-sha256", &hash]);
+    session.step(TEAM_TOKEN, &["plan", FIRST]);
+    session.step(TEAM_TOKEN, &[&["apply", FIRST, "--wait"], &by[..]].concat());
+    session.step(TEAM_TOKEN, &["plan", SECOND]);
 
-    // Another operator's change comes in between this one's read and submit.
+    // Another operator's change is accepted between this operator's read and submit.
     write_other(&directory);
     let other = directory.0.join("other").to_str().expect("path").to_owned();
     let daemon = ops.clone();
-    day.ops = start_relay(ops.clone(), move || {
+    session.ops = start_racing_relay(ops.clone(), move || {
         let args = ["apply", &other, "--revision", "99aa", "--author", "bor"];
-        let output = operate(&daemon, TEAM_TOKEN, &args);
-        assert!(output.status.success(), "{}", render(&output));
+        let output = run_cli(&daemon, TEAM_TOKEN, &args);
+        assert!(output.status.success(), "{}", render_output(&output));
     });
-    day.step(TEAM_TOKEN, &[&["apply", SECOND], &by[..]].concat());
-    day.ops = ops.clone();
-
-    day.step(TEAM_TOKEN, &["plan", SECOND]);
-    day.step(TEAM_TOKEN, &["plan", SECOND, "--json"]);
-    day.step(TEAM_TOKEN, &[&["apply", SECOND, "--json"], &by[..]].concat());
-    day.step(TEAM_TOKEN, &[&["apply", SECOND], &by[..]].concat());
-    day.step(TEAM_TOKEN, &[&["withdraw", "/ledvica/treatment-records"], &by[..]].concat());
-    day.step(TEAM_TOKEN, &[&["withdraw", "/ledvica/routes/holdover"], &by[..]].concat());
-    day.step(TEAM_TOKEN, &[&["withdraw", "/ledvica/routes/holdover"], &by[..]].concat());
-    day.step(TEAM_TOKEN, &["get", "ledvica"]);
-    wait_for("2 of 2 in force", || in_force(&ops) == (2, 2));
-    day.step(MANAGER_TOKEN, &["report"]);
-    day.step(MANAGER_TOKEN, &["report", "--csv"]);
-    day.step(MANAGER_TOKEN, &["report", "--path", "/ledvica/routes/holdover"]);
-    day.step(MANAGER_TOKEN, &["report", "--team", "ledvica", "--csv"]);
-    day.step(MANAGER_TOKEN, &["report", "--since", "9000000000000"]);
-    day.step(MANAGER_TOKEN, &["report", "--until", "1"]);
-    day.step(MANAGER_TOKEN, &["report", "--since", "2200-01-01T00:00:00Z"]);
-    day.step(TEAM_TOKEN, &["report"]);
-    day.step_json(TEAM_TOKEN, &["get", "ledvica", "--json"]);
-    day.step_json(MANAGER_TOKEN, &["report", "--json"]);
-    day.step_json(MANAGER_TOKEN, &["report", "--change", "4", "--json"]);
-    day.step_json(MANAGER_TOKEN, &["state", "--json"]);
+    session.step(TEAM_TOKEN, &[&["apply", SECOND], &by[..]].concat());
+    session.ops = ops.clone();
+
+    session.step(TEAM_TOKEN, &["plan", SECOND]);
+    session.step(TEAM_TOKEN, &["plan", SECOND, "--json"]);
+    session.step(TEAM_TOKEN, &[&["apply", SECOND, "--json"], &by[..]].concat());
+    session.step(TEAM_TOKEN, &[&["apply", SECOND], &by[..]].concat());
+    session.step(TEAM_TOKEN, &[&["withdraw", "/ledvica/treatment-records"], &by[..]].concat());
+    session.step(TEAM_TOKEN, &[&["withdraw", "/ledvica/routes/holdover"], &by[..]].concat());
+    session.step(TEAM_TOKEN, &[&["withdraw", "/ledvica/routes/holdover"], &by[..]].concat());
+    session.step(TEAM_TOKEN, &["get", "ledvica"]);
+    wait_for("2 of 2 in force", || read_in_force(&ops) == (2, 2));
+    session.step(MANAGER_TOKEN, &["report"]);
+    session.step(MANAGER_TOKEN, &["report", "--csv"]);
+    session.step(MANAGER_TOKEN, &["report", "--path", "/ledvica/routes/holdover"]);
+    session.step(MANAGER_TOKEN, &["report", "--team", "ledvica", "--csv"]);
+    session.step(MANAGER_TOKEN, &["report", "--since", "9000000000000"]);
+    session.step(MANAGER_TOKEN, &["report", "--until", "1"]);
+    session.step(MANAGER_TOKEN, &["report", "--since", "2200-01-01T00:00:00Z"]);
+    session.step(TEAM_TOKEN, &["report"]);
+    session.step_json(TEAM_TOKEN, &["get", "ledvica", "--json"]);
+    session.step_json(MANAGER_TOKEN, &["report", "--json"]);
+    session.step_json(MANAGER_TOKEN, &["report", "--change", "4", "--json"]);
+    session.step_json(MANAGER_TOKEN, &["state", "--json"]);
 
     for daemon in daemons {
         assert!(daemon.terminate().0.success());
     }
-    day.step(TEAM_TOKEN, &["plan", FIRST]);
+    session.step(TEAM_TOKEN, &["plan", FIRST]);
     assert!(platform.terminate().0.success());
-    let text = day.text.replace(&ops, "DAEMON");
+    let text = session.text.replace(&ops, "DAEMON");
     expect_file!["golden/cli_session.txt"].assert_eq(&text);
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Processes of one small fleet, started for a test and ended with it.
+//! Starts the processes of a small fleet for a test, calls them and ends them with the test.
 
-#![allow(dead_code)] // Each test file uses a part of it.
+#![allow(dead_code)] // No test file uses all of it.
 
 pub mod requests;
 
@@ -17,22 +17,24 @@
 
 use sk_settings::{LoopbackPlan, loopback_text};
 
-/// Longest wait for a condition; an idle machine needs a small part of it.
+/// Longest wait for one condition. An idle machine needs a small part of it.
 pub const WAIT_BOUND: Duration = Duration::from_secs(60);
 pub const POLL_INTERVAL: Duration = Duration::from_millis(20);
 pub const MANAGER_TOKEN: &str = "test manager";
 pub const TEAM_TOKEN: &str = "test team";
 
-/// A process that prints one line with its addresses when it is ready.
+/// A process that prints one line with its addresses when it is ready. Dropping it kills it.
 pub struct TestProcess {
     child: Child,
-    pub ready: String,
-    /// All other lines that it prints, as a thread reads them.
+    /// The line that the process prints when it is ready.
+    pub ready_line: String,
+    /// All other lines printed so far, as a thread reads them.
     printed: Arc<Mutex<String>>,
     reader: Option<JoinHandle<()>>,
 }
 
 impl TestProcess {
+    /// Starts a program and waits until it is ready.
     pub fn start(program: &str, args: &[&str]) -> Self {
         let mut child = Command::new(program)
             .args(args)
@@ -42,41 +44,43 @@
             .expect("program starts");
         let stdout = child.stdout.take().expect("stdout is piped");
         let printed = Arc::<Mutex<String>>::default();
-        let (say, said) = mpsc::channel();
-        let kept = printed.clone();
+        let (sender, receiver) = mpsc::channel();
+        let lines = printed.clone();
         let reader = std::thread::spawn(move || {
-            let mut say = Some(say);
+            let mut sender = Some(sender);
             for line in BufReader::new(stdout).lines().map_while(Result::ok) {
-                // Logs are JSON objects; the one line that is none says where the process listens.
-                match say.take_if(|_| !line.starts_with('{')) {
-                    Some(say) => say.send(line).expect("the test waits for the line"),
+                // Log lines are JSON objects; the first line of another form is the ready line.
+                match sender.take_if(|_| !line.starts_with('{')) {
+                    Some(sender) => sender.send(line).expect("the test waits for the line"),
                     None => {
-                        let mut kept = kept.lock().expect("no reader panics");
-                        kept.push_str(&line);
-                        kept.push('\n');
+                        let mut lines = lines.lock().expect("no reader panics");
+                        lines.push_str(&line);
+                        lines.push('\n');
                     }
                 }
             }
         });
-        let ready = said.recv_timeout(WAIT_BOUND);
-        let ready = ready.unwrap_or_else(|_| panic!("{program} ended before it was ready"));
-        Self { child, ready, printed, reader: Some(reader) }
+        let ready_line = receiver.recv_timeout(WAIT_BOUND);
+        let ready_line =
+            ready_line.unwrap_or_else(|_| panic!("{program} ended before it was ready"));
+        Self { child, ready_line, printed, reader: Some(reader) }
     }
 
-    /// Gives the word after `name=`.
+    /// Returns the address printed as `name=ADDRESS` in the ready line.
     pub fn address(&self, name: &str) -> String {
-        let words = self.ready.split(' ');
+        let words = self.ready_line.split(' ');
         let found = words.filter_map(|word| word.split_once('=')).find(|(key, _)| *key == name);
         found.expect("address is printed").1.to_owned()
     }
 
+    /// Sends a signal, given as an option of `kill`, such as `-TERM`.
     pub fn signal(&self, signal: &str) {
         let pid = self.child.id().to_string();
         let status = Command::new("kill").args([signal, &pid]).status().expect("kill runs");
         assert!(status.success());
     }
 
-    /// Stops the process and waits until none of its threads runs any more.
+    /// Suspends the process with SIGSTOP and waits until all of its threads have stopped.
     pub fn pause(&self) {
         self.signal("-STOP");
         let tasks = format!("/proc/{}/task", self.child.id());
@@ -91,7 +95,8 @@
         });
     }
 
-    /// Waits until the process has ended and gives the rest of what it printed.
+    /// Waits until the process has exited and returns its status and all that it printed, except
+    /// the ready line.
     pub fn join(mut self) -> (ExitStatus, String) {
         let begin = Instant::now();
         let status = loop {
@@ -107,17 +112,17 @@
         (status, self.printed())
     }
 
-    /// Gives what the process has printed so far, but for the line that says where it listens.
+    /// Returns what the process has printed so far, except the ready line.
     pub fn printed(&self) -> String {
         self.printed.lock().expect("no reader panics").clone()
     }
 
-    /// Gives how the process ended, none while it runs.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    /// Returns the exit status, or `None` while the process runs.
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().expect("process can be waited for")
     }
 
-    /// Asks for a graceful shutdown and waits for it.
+    /// Requests a graceful shutdown and waits for the exit.
     pub fn terminate(self) -> (ExitStatus, String) {
         self.signal("-TERM");
         self.join()
@@ -126,7 +131,7 @@
 
 impl Drop for TestProcess {
     fn drop(&mut self) {
-        // Only this very child, and only if it still runs.
+        // Ends only this child, and only if it still runs.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -136,34 +141,38 @@
     TestProcess::start(env!("CARGO_BIN_EXE_sk-platform"), &[])
 }
 
+/// Returns the address `IP:PORT` of a platform's process.
 pub fn platform_address(platform: &TestProcess) -> String {
-    platform.ready.trim_start_matches("platform ").to_owned()
+    platform.ready_line.trim_start_matches("platform ").to_owned()
 }
 
-/// What a test sets of one daemon.
+/// Settings that a test chooses for one daemon.
 pub struct DaemonPlan<'a> {
     pub name: &'a str,
     pub data_centre: &'a str,
     pub platform: &'a str,
+    /// Control addresses of the daemons to join.
     pub seeds: &'a [String],
+    /// Further settings in TOML.
     pub extra: &'a str,
 }
 
 pub fn start_daemon(directory: &Path, plan: &DaemonPlan<'_>) -> TestProcess {
-    start_daemon_at(directory, plan, "")
+    start_daemon_with(directory, plan, "")
 }
 
-/// Starts a daemon with further settings of its listeners.
-pub fn start_daemon_at(directory: &Path, plan: &DaemonPlan<'_>, listen: &str) -> TestProcess {
+/// Starts a daemon with further settings in its `listen` table.
+pub fn start_daemon_with(directory: &Path, plan: &DaemonPlan<'_>, listen: &str) -> TestProcess {
     let text = loopback_text(&LoopbackPlan {
         name: plan.name,
         data_centre: plan.data_centre,
         region: "slovenia",
         platform: plan.platform,
         seeds: plan.seeds,
-        // Tests run at once and give their daemons the same names. A daemon that took over the port
-        // of another test's dead one would else be let into that fleet, where two processes
-        // dispute each name until one is believed by nobody and its server gets no request.
+        // Tests run at the same time and use the same names for their daemons. With a common
+        // secret, a daemon that reuses the port of another test's dead daemon would join that
+        // fleet, where two processes claim each name until one is ignored and its server gets no
+        // requests.
         secret: &format!("secret of the fleet in {}", directory.display()),
         manager_sha256: &sk_ops::hash_token(MANAGER_TOKEN),
         extra: plan.extra,
@@ -179,7 +188,7 @@
     TestProcess::start(env!("CARGO_BIN_EXE_sk-backend"), &args)
 }
 
-/// A directory of the test's own, removed with it.
+/// A temporary directory of one test, removed when dropped.
 pub struct TestDirectory(pub PathBuf);
 
 impl TestDirectory {
@@ -190,6 +199,7 @@
         Self(path)
     }
 
+    /// Writes a file and creates its parent directories.
     pub fn write(&self, name: &str, text: &str) {
         let file = self.0.join(name);
         fs::create_dir_all(file.parent().expect("file in a directory")).expect("directory");
@@ -203,8 +213,8 @@
     }
 }
 
-/// Runs the operator's command line against a daemon.
-pub fn operate(daemon: &str, token: &str, args: &[&str]) -> Output {
+/// Runs the operators' command line against a daemon's ops address.
+pub fn run_cli(daemon: &str, token: &str, args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_sapphirekeel"))
         .args(["--daemon", daemon, "--token", token])
         .args(args)
@@ -213,19 +223,19 @@
         .expect("command line runs")
 }
 
-/// Renders a command's end for a golden file.
-pub fn render(output: &Output) -> String {
+/// Renders a command's output and exit code for a golden file.
+pub fn render_output(output: &Output) -> String {
     let code = output.status.code().map_or("signal".to_owned(), |code| code.to_string());
     let (out, err) =
         (String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr));
     format!("{out}{err}exit {code}\n")
 }
 
-/// Waits for a condition.
+/// Waits until a condition is met.
 pub fn wait_for(what: &str, mut is_met: impl FnMut() -> bool) {
     let begin = Instant::now();
     while !is_met() {
-        assert!(begin.elapsed() < WAIT_BOUND, "waited in vain for {what}");
+        assert!(begin.elapsed() < WAIT_BOUND, "timed out waiting for {what}");
         std::thread::sleep(POLL_INTERVAL);
     }
 }
@@ -238,13 +248,13 @@
     pub body: String,
 }
 
-/// Makes one request over a connection of its own.
+/// Sends one request on a new connection.
 pub fn call(address: &str, method: &str, path: &str, headers: &str) -> std::io::Result<CallAnswer> {
     call_with(address, method, path, headers, "")
 }
 
-/// Makes one request with a JSON body.
-pub fn call_body(
+/// Sends one request with a JSON body.
+pub fn call_with_body(
     address: &str,
     method: &str,
     path: &str,
@@ -253,7 +263,7 @@
     call_with(address, method, path, "", body)
 }
 
-/// Makes one request with headers and a JSON body.
+/// Sends one request with headers, each ending in CRLF, and a JSON body.
 pub fn call_with(
     address: &str,
     method: &str,
@@ -285,19 +295,20 @@
     Ok(CallAnswer { status, headers, body })
 }
 
-pub fn in_force(daemon: &str) -> (usize, usize) {
-    let output = operate(daemon, MANAGER_TOKEN, &["--json", "report"]);
+/// Returns on how many proxies the newest version is in force, and how many there are.
+pub fn read_in_force(daemon: &str) -> (usize, usize) {
+    let output = run_cli(daemon, MANAGER_TOKEN, &["--json", "report"]);
     let report: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap_or_default();
     let count = |name: &str| report[name].as_u64().unwrap_or(0) as usize;
     (count("in_force"), count("total"))
 }
 
-/// Tells whether a word is a time in UTC with milliseconds, such as 2026-12-03T08:15:00.123Z.
+/// Returns whether a word is a UTC time with milliseconds, such as 2026-12-03T08:15:00.123Z.
 pub fn is_utc(word: &str) -> bool {
-    const FORM: &str = "0000-00-00T00:00:00.000Z";
-    let is_like = |(letter, form): (char, char)| match form {
+    const PATTERN: &str = "0000-00-00T00:00:00.000Z";
+    let is_match = |(letter, pattern): (char, char)| match pattern {
         '0' => letter.is_ascii_digit(),
-        form => letter == form,
+        pattern => letter == pattern,
     };
-    word.len() == FORM.len() && word.chars().zip(FORM.chars()).all(is_like)
+    word.len() == PATTERN.len() && word.chars().zip(PATTERN.chars()).all(is_match)
 }
--- a/tests/example_settings.rs
+++ b/tests/example_settings.rs
@@ -1,10 +1,10 @@
-//! Examples that users copy must be good, whole and explained.
+//! Examples that users copy must be valid and complete, and explain each key.
 
 mod common;
 
 use std::{collections::BTreeSet, fs, path::Path, process::Command};
 
-use common::render;
+use common::render_output;
 use sk_settings::{DaemonSettings, SpreadMode, read_settings};
 use toml::{Table, Value};
 
@@ -19,7 +19,7 @@
     read_settings(Path::new(&settings_file(deployment))).expect("good settings")
 }
 
-/// Gives the dotted keys of a table that hold values.
+/// Returns the dotted keys of all values in a table.
 fn dotted_keys(table: &Table) -> BTreeSet<String> {
     let mut keys = BTreeSet::new();
     for (key, value) in table {
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn all_parse() {
+fn examples_parse() {
     for file in files_under(Path::new(EXAMPLES)) {
         let text = fs::read_to_string(&file).expect("example can be read");
         assert!(text.parse::<Table>().is_ok(), "{}", file.display());
@@ -55,20 +55,20 @@
 }
 
 #[test]
-fn every_key() {
+fn all_keys_shown() {
     for deployment in DEPLOYMENTS {
         let settings = read_deployment(deployment);
-        // The one key that may be absent; without it the struct would show a key fewer.
+        // An absent optional key would be missing from the struct's keys; this is the only one.
         assert!(settings.metrics.address.is_some());
-        let known = Table::try_from(&settings).expect("settings encode");
+        let expected = Table::try_from(&settings).expect("settings encode");
         let text = fs::read_to_string(settings_file(deployment)).expect("example can be read");
         let shown: Table = text.parse().expect("toml");
-        assert_eq!(dotted_keys(&known), dotted_keys(&shown), "{deployment}");
+        assert_eq!(dotted_keys(&expected), dotted_keys(&shown), "{deployment}");
     }
 }
 
 #[test]
-fn every_reason() {
+fn all_keys_explained() {
     let files =
         DEPLOYMENTS.map(settings_file).into_iter().chain([format!("{EXAMPLES}/operator.toml")]);
     for file in files {
@@ -78,8 +78,8 @@
             match line.split_once(" = ") {
                 _ if line.starts_with('#') => comment.push_str(line),
                 Some((key, _)) => {
-                    let is_told = ["Default", "Required", "No default"];
-                    assert!(is_told.iter().any(|word| comment.contains(word)), "{file}: {key}");
+                    let markers = ["Default", "Required", "No default"];
+                    assert!(markers.iter().any(|marker| comment.contains(marker)), "{file}: {key}");
                     comment.clear();
                 }
                 None => comment.clear(),
@@ -89,12 +89,13 @@
 }
 
 #[test]
-fn weighed_differently() {
+fn deployments_differ() {
     let [ledvica, restlwerk] = DEPLOYMENTS.map(read_deployment);
     assert_eq!(ledvica.spread.mode, SpreadMode::Push);
-    // Measured: a change on its own costs fewer bytes pushed than announced.
+    // A single change costs fewer bytes in push mode than in announce mode.
     assert_eq!(restlwerk.spread.mode, SpreadMode::Push);
-    // All but a thousandth of a day's control bytes are sent while nothing changes.
+    // All but a thousandth of a day's control bytes are sent while nothing changes, so restlwerk
+    // saves bytes by slower heartbeats, a lower fan-out and rarer repairs.
     assert!(ledvica.member.heartbeat_ms < restlwerk.member.heartbeat_ms);
     assert!(ledvica.spread.fan_out > restlwerk.spread.fan_out);
     assert!(ledvica.spread.repair_interval_ms < restlwerk.spread.repair_interval_ms);
@@ -108,5 +109,5 @@
         .current_dir(env!("CARGO_MANIFEST_DIR"))
         .output()
         .expect("command line runs");
-    assert!(output.status.success(), "{}", render(&output));
+    assert!(output.status.success(), "{}", render_output(&output));
 }
--- a/tests/fleet_model.rs
+++ b/tests/fleet_model.rs
@@ -1,7 +1,8 @@
-//! Random sessions over the ledger, the held configurations and the reports, beside a naive model.
+//! Random sessions of the ledger, the proxies' configurations and the reports, compared with a
+//! naive model.
 //!
-//! The parts meet at their interfaces: messages between proxies are values in a queue that loses,
-//! repeats and reorders them, and the platform is the in-memory fake.
+//! The components are connected without a network: messages between proxies are values in a queue
+//! that loses, repeats and reorders them, and the platform is the in-memory fake.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -21,29 +22,30 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// An operator of a team writes or withdraws a service and a route, seen as of some time ago.
+    /// An operator writes or withdraws a team's service and route. If stale, the change is based on
+    /// an earlier read.
     Submit { team: usize, is_stale: bool, service: Option<bool>, route: Option<Option<usize>> },
-    /// The answer or the request of the platform's next write is lost.
+    /// The platform's next write loses its answer (true) or its request (false).
     Fault(bool),
-    /// The platform goes away or comes back.
+    /// The platform becomes unavailable (true) or available.
     Outage(bool),
-    /// A proxy reads the platform.
+    /// A proxy reads the newest configuration from the platform.
     Load(usize),
-    /// A proxy sends another what it lacks; the message waits in the queue.
+    /// A proxy queues a message with the settings that another one lacks.
     Send { from: usize, to: usize },
-    /// A message of the queue arrives; it may come again later.
+    /// A message of the queue arrives; if kept, it can arrive again.
     Deliver { index: usize, is_kept: bool },
     /// A message is lost.
     Drop(usize),
-    /// A proxy starts anew and holds nothing until it reads the platform or hears from another.
+    /// A proxy restarts with no configuration until it reads the platform or receives a message.
     Restart(usize),
-    /// A proxy's word reaches the relay.
+    /// A proxy's acknowledgement reaches the relay.
     Ack(usize),
-    /// The relay writes to the platform.
+    /// The relay writes the acknowledgements to the platform.
     Flush,
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn any_step() -> impl Strategy<Value = Step> {
     let (team, proxy) = (0..TEAMS, 0..PROXIES);
     prop_oneof![
         6 => (team, any::<bool>(), any::<Option<bool>>(), any::<Option<Option<u8>>>()).prop_map(
@@ -65,14 +67,14 @@
     ]
 }
 
-fn team(index: usize) -> String {
+fn team_name(index: usize) -> String {
     format!("team{index}")
 }
 
 fn make_change(number: u64, team_index: usize, base: u64, writes: SettingWrites) -> ChangeRequest {
     ChangeRequest {
         change_id: format!("change{number}"),
-        team: team(team_index),
+        team: team_name(team_index),
         author: "ana".to_owned(),
         revision: "r".to_owned(),
         base,
@@ -87,37 +89,37 @@
     number: u64,
 ) -> SettingWrites {
     let mut writes = SettingWrites::new();
-    let service_path = |index: usize| format!("/{}/service", team(index));
-    if let Some(is_there) = service {
+    let service_path = |index: usize| format!("/{}/service", team_name(index));
+    if let Some(is_present) = service {
         let description = format!("change {number}");
         let body =
             || SettingBody::Service(ServiceSetting { description, ..ServiceSetting::default() });
-        writes.insert(service_path(own), is_there.then(body));
+        writes.insert(service_path(own), is_present.then(body));
     }
     if let Some(to) = route {
         let body = |to: usize| {
             SettingBody::Route(RouteSetting {
                 deadline_ms: 1_000 + number,
-                ..RouteSetting::new(format!("/{}", team(own)), service_path(to))
+                ..RouteSetting::new(format!("/{}", team_name(own)), service_path(to))
             })
         };
-        writes.insert(format!("/{}/route", team(own)), to.map(body));
+        writes.insert(format!("/{}/route", team_name(own)), to.map(body));
     }
     writes
 }
 
-/// One proxy with the greatest version it ever held in its present process.
+/// One proxy with the greatest version that it has had in force since its last start.
 struct ModelProxy {
     incarnation: u64,
     held: HeldConfig,
-    seen: u64,
+    greatest_version: u64,
 }
 
 impl ModelProxy {
     fn start(incarnation: u64) -> Self {
         let held = HeldConfig::new();
         held.set_ready(0);
-        Self { incarnation, held, seen: 0 }
+        Self { incarnation, held, greatest_version: 0 }
     }
 
     fn ack(&self, index: usize) -> ProxyAck {
@@ -135,7 +137,7 @@
 }
 
 struct ModelFleet {
-    fake: Arc<FakeStore>,
+    fake_store: Arc<FakeStore>,
     store: SharedStore,
     ledger: Ledger,
     book: ReportBook,
@@ -143,41 +145,43 @@
     queue: Vec<(usize, ConfigUpdate)>,
     /// Settings after each accepted version, by a naive application of its writes.
     accepted: BTreeMap<u64, BTreeMap<String, SettingBody>>,
-    /// Submits whose outcome was not told.
-    open: Vec<ChangeRequest>,
-    /// What an operator saw some time ago.
+    /// Submits whose outcome is unknown.
+    unknown_submits: Vec<ChangeRequest>,
+    /// The configuration at the previous submit, as read by an operator who is late.
     stale: ConfigSnapshot,
-    number: u64,
+    /// Number of changes submitted.
+    change_count: u64,
 }
 
 impl ModelFleet {
     fn new() -> Self {
-        let fake = Arc::new(FakeStore::new());
-        let store: SharedStore = fake.clone();
+        let fake_store = Arc::new(FakeStore::new());
+        let store: SharedStore = fake_store.clone();
         Self {
             ledger: Ledger::new(store.clone(), LedgerSettings::default()),
             book: ReportBook::new(PREFIX),
             proxies: (0..PROXIES).map(|_| ModelProxy::start(1)).collect(),
             queue: Vec::new(),
             accepted: BTreeMap::from([(0, BTreeMap::new())]),
-            open: Vec::new(),
+            unknown_submits: Vec::new(),
             stale: ConfigSnapshot::default(),
-            number: 0,
-            fake,
+            change_count: 0,
+            fake_store,
             store,
         }
     }
 
+    /// Takes one step and checks the guarantees.
     async fn run(&mut self, step: Step) {
         match step {
             Step::Submit { team, is_stale, service, route } => {
                 self.submit(team, is_stale, service, route).await;
             }
-            Step::Fault(is_answer) => self.fake.plan_write(match is_answer {
+            Step::Fault(is_answer) => self.fake_store.plan_write(match is_answer {
                 true => WriteFault::LoseAnswer,
                 false => WriteFault::LoseRequest,
             }),
-            Step::Outage(is_down) => self.fake.set_down(is_down),
+            Step::Outage(is_down) => self.fake_store.set_down(is_down),
             Step::Load(proxy) => self.load(proxy).await,
             Step::Send { from, to } => {
                 let (base, newest) =
@@ -218,21 +222,22 @@
         route: Option<Option<usize>>,
     ) {
         let Ok(newest) = self.ledger.load(&ConfigSnapshot::default()).await else { return };
-        let seen = if is_stale { &self.stale } else { &newest };
-        let base = seen.root.trees.get(&team(team_index)).map_or(0, |tree| tree.version);
+        let read_snapshot = if is_stale { &self.stale } else { &newest };
+        let base =
+            read_snapshot.root.trees.get(&team_name(team_index)).map_or(0, |tree| tree.version);
         self.stale = newest;
-        self.number += 1;
-        let writes = make_writes(team_index, service, route, self.number);
-        let request = make_change(self.number, team_index, base, writes);
+        self.change_count += 1;
+        let writes = make_writes(team_index, service, route, self.change_count);
+        let request = make_change(self.change_count, team_index, base, writes);
         match self.ledger.submit(&request, 1).await {
-            Ok(record) => self.note_accepted(record.version, &request),
-            Err(SubmitError::Unknown { .. }) => self.open.push(request),
+            Ok(record) => self.record_accepted(record.version, &request),
+            Err(SubmitError::Unknown { .. }) => self.unknown_submits.push(request),
             Err(_) => (),
         }
     }
 
-    /// Applies an accepted change as naively as can be.
-    fn note_accepted(&mut self, version: u64, request: &ChangeRequest) {
+    /// Applies an accepted change to the model.
+    fn record_accepted(&mut self, version: u64, request: &ChangeRequest) {
         let mut settings = self.accepted[&(version - 1)].clone();
         for (path, body) in &request.writes {
             assert!(path.starts_with(&format!("/{}/", request.team)), "outside the subtree");
@@ -251,36 +256,45 @@
         }
     }
 
+    /// Checks that no proxy moved back or has settings other than those of an accepted version.
     async fn check(&mut self) {
-        self.settle_open().await;
+        self.resolve_unknown().await;
         for (index, proxy) in self.proxies.iter_mut().enumerate() {
             let snapshot = proxy.held.current();
             let version = snapshot.version();
-            assert!(version >= proxy.seen, "proxy {index} moved back");
-            proxy.seen = version;
-            assert!(validate_trees(&snapshot.trees).is_empty(), "proxy {index} holds a fault");
+            assert!(version >= proxy.greatest_version, "proxy {index} moved back");
+            proxy.greatest_version = version;
+            assert!(
+                validate_trees(&snapshot.trees).is_empty(),
+                "proxy {index} has an invalid configuration"
+            );
             let settings: BTreeMap<String, SettingBody> =
                 snapshot.settings().map(|(path, body)| (path.clone(), body.clone())).collect();
-            assert_eq!(Some(&settings), self.accepted.get(&version), "proxy {index} holds a part");
+            assert_eq!(
+                Some(&settings),
+                self.accepted.get(&version),
+                "proxy {index} has settings of no version"
+            );
         }
         self.check_report().await;
     }
 
-    /// Finds out what became of submits whose outcome was not told.
-    async fn settle_open(&mut self) {
+    /// Looks up the submits whose outcome is unknown, and records those that were accepted.
+    async fn resolve_unknown(&mut self) {
         let mut found = Vec::new();
-        for request in &self.open {
+        for request in &self.unknown_submits {
             if let Ok(Some(record)) = self.ledger.outcome(&request.change_id).await {
                 found.push((record.version, request.clone()));
             }
         }
         found.sort_by_key(|(version, _)| *version);
         for (version, request) in found {
-            self.note_accepted(version, &request);
-            self.open.retain(|open| open.change_id != request.change_id);
+            self.record_accepted(version, &request);
+            self.unknown_submits.retain(|unknown| unknown.change_id != request.change_id);
         }
     }
 
+    /// Checks that the report claims no version that its proxy has not reached.
     async fn check_report(&self) {
         let (Ok(newest), Ok(acks)) = (
             self.ledger.load(&ConfigSnapshot::default()).await,
@@ -299,22 +313,30 @@
         let known = self.proxies.iter().enumerate().map(known).collect();
         let report = make_report(newest.root.change.clone(), &known, &acks);
         for (proxy, state) in self.proxies.iter().zip(&report.proxies) {
-            let held = proxy.held.current().version();
-            assert!(state.version <= held, "the report claims more than {} holds", state.proxy);
+            let version = proxy.held.current().version();
+            assert!(
+                state.version <= version,
+                "the report claims a newer version than {} has",
+                state.proxy
+            );
             if state.state == ProxyState::InForce {
-                assert!(held >= newest.version(), "{} is said to be in force", state.proxy);
+                assert!(
+                    version >= newest.version(),
+                    "{} is wrongly reported as in force",
+                    state.proxy
+                );
             }
         }
     }
 
-    /// Mends everything and checks that what was accepted is in force and reported so.
-    async fn heal(&mut self) {
-        self.fake.set_down(false);
-        self.fake.clear_faults();
-        for request in std::mem::take(&mut self.open) {
+    /// Ends all faults and checks that every accepted change is in force and in the history.
+    async fn recover(&mut self) {
+        self.fake_store.set_down(false);
+        self.fake_store.clear_faults();
+        for request in std::mem::take(&mut self.unknown_submits) {
             match self.ledger.submit(&request, 1).await {
                 Ok(record) if self.accepted.contains_key(&record.version) => (),
-                Ok(record) => self.note_accepted(record.version, &request),
+                Ok(record) => self.record_accepted(record.version, &request),
                 Err(_) => (),
             }
         }
@@ -323,13 +345,13 @@
             self.load(proxy).await;
             self.book.note(vec![self.proxies[proxy].ack(proxy)]);
         }
-        self.book.flush(&self.store).await.expect("the platform is up");
+        self.book.flush(&self.store).await.expect("the platform is available");
         self.check().await;
         let last = *self.accepted.keys().last().expect("version zero is there");
         for proxy in &self.proxies {
-            assert_eq!(proxy.held.current().version(), last, "accepted and not in force");
+            assert_eq!(proxy.held.current().version(), last, "accepted but not in force");
         }
-        let history = self.ledger.history(1, 10_000).await.expect("the platform is up");
+        let history = self.ledger.history(1, 10_000).await.expect("the platform is available");
         assert_eq!(history.len() as u64, last, "an accepted change is lost");
     }
 }
@@ -337,11 +359,11 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(128))]
 
-    // Operators race, the platform goes away and loses answers, messages between proxies are
-    // reordered, repeated and lost, and proxies start anew. A user would notice a proxy on an old
-    // route, a change that vanished, or a report that claims what is not so.
+    // Operators race, the platform becomes unavailable and loses answers, messages between proxies
+    // are reordered, repeated and lost, and proxies restart. Guards against a proxy that returns to
+    // an old route, a change that is lost, and a false report.
     #[test]
-    fn whole_session(steps in prop::collection::vec(step(), 1..60)) {
+    fn whole_session(steps in prop::collection::vec(any_step(), 1..60)) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true)
             .build().expect("runtime");
         runtime.block_on(async {
@@ -349,25 +371,25 @@
             for step in steps {
                 fleet.run(step).await;
             }
-            fleet.heal().await;
+            fleet.recover().await;
         });
     }
 }
 
-// A naive proxy puts in force what arrives, in the order in which it arrives. Of two updates that
-// cross on their way, the older one comes last and stays.
+// A naive proxy applies updates in the order of their arrival. If two updates overtake each other,
+// it ends with the older one, which a real proxy refuses.
 #[test]
 fn naive_moves_back() {
     let snapshot = |version: u64| {
         let root = sk_model::SnapshotRoot { version, ..Default::default() };
         ConfigSnapshot { root, ..ConfigSnapshot::default() }
     };
-    let crossing = [snapshot(2), snapshot(1)];
+    let reordered = [snapshot(2), snapshot(1)];
     let mut naive = ConfigSnapshot::default();
     let held = HeldConfig::new();
     held.set_ready(0);
     let mut outcomes = Vec::new();
-    for arrived in crossing {
+    for arrived in reordered {
         naive = arrived.clone();
         outcomes.push(held.offer(arrived, "peer", 1));
     }
--- a/tests/failed_calls.rs
+++ b/tests/nested_calls.rs
@@ -1,4 +1,4 @@
-//! A request that failed since a call of its server's failed, in the lines of one daemon.
+//! Log lines about a request that failed because a nested call of its server failed.
 
 mod common;
 
@@ -13,6 +13,7 @@
 
 const HOST: &str = "board.example";
 
+/// Starts a daemon beside a server of a service, with the object store as its platform.
 fn start(directory: &TestDirectory, name: &str, service: &str, store: &str) -> TestProcess {
     let listen = ["proxy", "guard", "control", "ops"].map(|key| format!("{key} = \"127.0.0.1:0\""));
     let secret = directory.0.display();
@@ -48,7 +49,8 @@
     })
 }
 
-async fn ask(entry: &str, path: &str, attempt: &str) -> u16 {
+/// Sends a request and returns the status of the answer.
+async fn send(entry: &str, path: &str, attempt: &str) -> u16 {
     let call = CallerRequest {
         method: Method::POST,
         host: HOST,
@@ -59,62 +61,63 @@
     send_call(entry.parse().expect("an address"), &call).await.expect("an answer").status
 }
 
-/// A confirmation needs a document, and no server of that service is left. Its server answers 500,
-/// which says nothing. The caller's complaint is about the confirmation, and whoever looks into it has
-/// the output of the daemon that took it.
+/// A confirmation needs a document, but no server of the document service is left, so the server
+/// answers 500. The line of the daemon that accepted the confirmation must name the failed call, as
+/// an engineer has only the request's id and this daemon's output.
 #[tokio::test(flavor = "multi_thread")]
-async fn told_at_entry() {
+async fn nested_call_logged() {
     let directory = TestDirectory::new("failed_calls");
     let store = ObjectServer::start().await.expect("a store");
     store.put("config", "main", configuration());
     let address = store.address().to_string();
     let entry = start(&directory, "d1", "docs", &address);
-    let beside = start(&directory, "d2", "board", &address);
+    let server_daemon = start(&directory, "d2", "board", &address);
     let server = WordServer::start("s1").await.expect("a server");
     let beat = json!({
         "service": "board", "address": server.address().to_string(), "zone": "a", "version": "v1",
         "slots": 4, "state": "ready", "warm_up_left": 0, "sequence": 1, "born": 1,
     });
-    let ops = beside.address("ops").parse().expect("an address");
+    let ops = server_daemon.address("ops").parse().expect("an address");
     assert_eq!(send_heartbeat(ops, "s1", &beat).await.expect("an answer"), 200);
     let proxy = entry.address("proxy");
     let begin = std::time::Instant::now();
-    while ask(&proxy, "/board/up", "up").await != 200 {
+    while send(&proxy, "/board/up", "up").await != 200 {
         assert!(begin.elapsed() < common::WAIT_BOUND, "the server is not used");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 
     server.set_mode(AnswerMode::Fails);
-    // The server's call, by its own daemon, before it gives up.
-    assert_eq!(ask(&beside.address("proxy"), "/docs/plan", "a1.c1").await, 503);
-    assert_eq!(ask(&proxy, "/board/confirm", "a1").await, 500);
-    let told = line_of(&entry, "a1");
-    let tries = told["tries"].as_str().unwrap_or_default();
+    // The nested call of the server, through its own daemon, ends before the server answers.
+    assert_eq!(send(&server_daemon.address("proxy"), "/docs/plan", "a1.c1").await, 503);
+    assert_eq!(send(&proxy, "/board/confirm", "a1").await, 500);
+    let line = line_of(&entry, "a1");
+    let tries = line["tries"].as_str().unwrap_or_default();
     assert!(
         tries.contains("its call to /operator/services/docs: answered 503 no-endpoint"),
-        "{told}"
+        "{line}"
     );
 
-    // A server that gives a call up answers before the end of the call is seen.
+    // A server that abandons its nested call answers before the daemon sees the end of that call.
     server.set_work(Duration::from_millis(600));
-    let (own, call) = (proxy.clone(), beside.address("proxy"));
-    let request = tokio::spawn(async move { ask(&own, "/board/confirm", "a2").await });
+    let (own, call) = (proxy.clone(), server_daemon.address("proxy"));
+    let request = tokio::spawn(async move { send(&own, "/board/confirm", "a2").await });
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let call = tokio::spawn(async move { ask(&call, "/board/call", "a2.c1").await });
+    let call = tokio::spawn(async move { send(&call, "/board/call", "a2.c1").await });
     assert_eq!(request.await.expect("it ends"), 500);
-    let told = line_of(&entry, "a2");
-    let tries = told["tries"].as_str().unwrap_or_default();
-    assert!(tries.contains("its call to /operator/services/board: open after"), "{told}");
+    let line = line_of(&entry, "a2");
+    let tries = line["tries"].as_str().unwrap_or_default();
+    assert!(tries.contains("its call to /operator/services/board: open after"), "{line}");
     assert_eq!(call.await.expect("it ends"), 500);
 }
 
+/// Waits for the log line about an attempt and returns it.
 fn line_of(daemon: &TestProcess, attempt: &str) -> Value {
-    let mut told = Value::Null;
+    let mut found = Value::Null;
     wait_for("the line", || {
         let printed = daemon.printed();
         let mut lines = printed.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok());
-        told = lines.rfind(|line| line["attempt"] == attempt).unwrap_or_default();
-        told != Value::Null
+        found = lines.rfind(|line| line["attempt"] == attempt).unwrap_or_default();
+        found != Value::Null
     });
-    told
+    found
 }
--- a/tests/proxy_deaths.rs
+++ b/tests/proxy_failures.rs
@@ -1,14 +1,14 @@
-//! Processes on a request's way that die, stop or lose answers.
+//! Processes on the path of a request that are killed or paused, or that lose answers.
 
 mod common;
 
 use std::time::{Duration, Instant};
 
-use common::requests::{RequestFleet, client, request, wait_until};
+use common::requests::{RequestFleet, new_client, send_request, wait_until};
 
-/// A server is killed in the middle of an answer. The caller has a part of it and must not take it
-/// for the whole: the answer ends in an error. A query that had no answer yet is placed elsewhere,
-/// and its caller notices nothing but the time.
+/// A server is killed during requests. A query without an answer is sent to another server, and its
+/// caller notices only the delay. A confirmation may have run and is answered "unknown". An answer
+/// that is cut off must end in an error, so that its caller doesn't take a part for the whole.
 #[tokio::test(flavor = "multi_thread")]
 async fn server_killed() {
     let mut fleet = RequestFleet::start("server_killed", 2);
@@ -17,20 +17,20 @@
         .map(|number| {
             let entry = entry.clone();
             let path = format!("/query?work_ms=1500&tag=q{number}");
-            tokio::spawn(async move { request(&client(), &entry, "GET", &path).await })
+            tokio::spawn(async move { send_request(&new_client(), &entry, "GET", &path).await })
         })
         .collect();
     let confirm = {
         let entry = entry.clone();
         let path = "/confirm?work_ms=1500&tag=confirm";
-        tokio::spawn(async move { request(&client(), &entry, "POST", path).await })
+        tokio::spawn(async move { send_request(&new_client(), &entry, "POST", path).await })
     };
     wait_until("work on both servers", || {
         (fleet.counts(1).running, fleet.counts(2).running) != (0, 0)
             && fleet.counts(1).running + fleet.counts(2).running == 7
     })
     .await;
-    // The server that runs the confirmation.
+    // Kills the server that runs the confirmation.
     let killed = if fleet.counts(1).runs.contains_key("confirm") { 1 } else { 2 };
     fleet.backend(killed).signal("-KILL");
     fleet.backends[killed] = None;
@@ -41,17 +41,17 @@
     }
     let answer = confirm.await.expect("call ends").expect("a head");
     assert_eq!((answer.status.as_u16(), answer.outcome()), (502, "unknown"));
-    assert_eq!(fleet.runs("confirm"), 0, "ran on the other server as well");
+    assert_eq!(fleet.count_runs("confirm"), 0, "also ran on the other server");
 
-    let left = 3 - killed;
-    let cut = request(&client(), &entry, "GET", "/list?fault=cut&size=200000").await;
+    let remaining = 3 - killed;
+    let cut = send_request(&new_client(), &entry, "GET", "/list?fault=cut&size=200000").await;
     assert!(cut.expect("a head").body.is_err(), "a cut answer looked complete");
-    fleet.backends[left].take().expect("server").signal("-KILL");
+    fleet.backends[remaining].take().expect("server").signal("-KILL");
 }
 
-/// The daemon beside a server is killed with confirmations under way. It can no longer say whether
-/// they ran: their callers hear "unknown", and no other daemon runs them again. Later requests go to
-/// the other server.
+/// The daemon beside a server is killed during confirmations. It can no longer report whether they
+/// ran: their callers are answered "unknown", and no other daemon runs them again. Later requests
+/// go to the other server.
 #[tokio::test(flavor = "multi_thread")]
 async fn guard_killed() {
     let mut fleet = RequestFleet::start("guard_killed", 2);
@@ -60,7 +60,7 @@
         .map(|number| {
             let entry = entry.clone();
             let path = format!("/confirm?work_ms=800&tag=c{number}");
-            tokio::spawn(async move { request(&client(), &entry, "POST", &path).await })
+            tokio::spawn(async move { send_request(&new_client(), &entry, "POST", &path).await })
         })
         .collect();
     wait_until("work on both servers", || {
@@ -79,19 +79,19 @@
                 assert_eq!((answer.status.as_u16(), outcome), (502, "unknown"), "{answer:?}");
             }
         }
-        assert_eq!(fleet.runs(&format!("c{number}")), 1);
+        assert_eq!(fleet.count_runs(&format!("c{number}")), 1);
     }
     assert!(unknown > 0);
     for number in 0..10 {
         let path = format!("/confirm?tag=later{number}");
-        let answer = request(&client(), &entry, "POST", &path).await.expect("a head");
+        let answer = send_request(&new_client(), &entry, "POST", &path).await.expect("a head");
         assert_eq!(answer.status, 200, "{answer:?}");
     }
 }
 
-/// The daemon beside the server is paused for longer than a request's deadline, as by a busy host,
-/// and then goes on unaware. The caller hears "unknown" at the deadline and no later, and the
-/// request runs once at most, whatever the daemon does when it wakes.
+/// The daemon beside the server is paused for longer than a request's deadline, as on an overloaded
+/// host, and then resumes. The caller is answered "unknown" at the deadline, and the request runs
+/// at most once, also after the daemon has resumed.
 #[tokio::test(flavor = "multi_thread")]
 async fn guard_paused() {
     let fleet = RequestFleet::start("guard_paused", 1);
@@ -102,7 +102,7 @@
         .map(|number| {
             let entry = entry.clone();
             let path = format!("/short/confirm?tag=p{number}");
-            tokio::spawn(async move { request(&client(), &entry, "POST", &path).await })
+            tokio::spawn(async move { send_request(&new_client(), &entry, "POST", &path).await })
         })
         .collect();
     for call in calls {
@@ -115,34 +115,34 @@
     fleet.daemon(1).signal("-CONT");
     fleet.wait_served("server1");
     for number in 0..5 {
-        let runs = fleet.runs(&format!("p{number}"));
+        let runs = fleet.count_runs(&format!("p{number}"));
         assert!(runs <= 1, "ran {runs} times");
     }
 }
 
-/// A request crashes each server that runs it and its caller sends it again and again. After the
-/// second death it is refused, with an answer that says why and invites no resend; the server that
-/// was started last lives on.
+/// A request crashes each server that runs it, and its caller keeps resending it. After the second
+/// crash it is refused, with the reason and without an invitation to resend; the server started
+/// last keeps running.
 #[tokio::test(flavor = "multi_thread")]
 async fn crash_resent() {
     let mut fleet = RequestFleet::start("crash_resent", 1);
     let entry = fleet.entry(0);
-    let (mut deaths, mut held) = (0, 0);
+    let (mut crashes, mut refusals) = (0, 0);
     for round in 0..6 {
-        let answer = request(&client(), &entry, "POST", "/deadly?fault=crash").await;
+        let answer = send_request(&new_client(), &entry, "POST", "/deadly?fault=crash").await;
         let answer = answer.expect("a head");
         if answer.header("x-sapphirekeel-reason") == "quarantined" {
-            held += 1;
+            refusals += 1;
             assert_eq!((answer.status.as_u16(), answer.outcome()), (422, "not-run"));
             continue;
         }
         assert_eq!(answer.outcome(), "unknown", "{answer:?}");
-        deaths += 1;
+        crashes += 1;
         let (status, _) = fleet.backends[1].take().expect("server").join();
         assert_eq!(status.code(), Some(101));
         let server = format!("next{round}");
         fleet.start_server(1, &server);
         tokio::task::block_in_place(|| fleet.wait_served(&server));
     }
-    assert_eq!((deaths, held), (2, 4));
+    assert_eq!((crashes, refusals), (2, 4));
 }
--- a/tests/request_logs.rs
+++ b/tests/request_logs.rs
@@ -1,4 +1,4 @@
-//! What a failed request leaves in the logs and metrics of the daemon that its caller used.
+//! Log lines and metrics about failed requests, at the daemon that the caller used.
 
 mod common;
 
@@ -10,27 +10,27 @@
 };
 
 use common::{
-    DaemonPlan, MANAGER_TOKEN, TEAM_TOKEN, TestDirectory, TestProcess, call, operate,
-    platform_address, start_backend, start_daemon, start_platform, wait_for,
+    DaemonPlan, MANAGER_TOKEN, TEAM_TOKEN, TestDirectory, TestProcess, call, platform_address,
+    run_cli, start_backend, start_daemon, start_platform, wait_for,
 };
 use serde_json::Value;
 
-/// Below the ports that the system gives to connections.
+/// Below the ephemeral ports of the system.
 const METRICS_PORT: u16 = 9_464;
 const DECLARATIONS: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/declarations/first");
 
-/// Finds the line about a request by its path.
+/// Waits for the line about the answer to a request, by its path.
 fn line_of(daemon: &TestProcess, path: &str) -> Value {
     line_where(daemon, |line| line["msg"] == "proxy: answered." && line["path"] == path)
 }
 
-/// Finds the last line that a condition holds for.
-fn line_where(daemon: &TestProcess, is_wanted: impl Fn(&Value) -> bool) -> Value {
+/// Waits for a log line that meets a condition, and returns the last one.
+fn line_where(daemon: &TestProcess, is_match: impl Fn(&Value) -> bool) -> Value {
     let mut found = None;
     wait_for("a line", || {
         let printed = daemon.printed();
         let mut lines = printed.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok());
-        found = lines.rfind(|line| is_wanted(line));
+        found = lines.rfind(|line| is_match(line));
         found.is_some()
     });
     found.expect("a line")
@@ -40,25 +40,25 @@
     line[field].as_str().unwrap_or_default()
 }
 
-/// Gives the value of a metric with some labels.
-fn metric(daemon: &TestProcess, address: &str, name: &str) -> f64 {
+/// Reads the value of a metric with its labels.
+fn read_metric(daemon: &TestProcess, address: &str, name: &str) -> f64 {
     let answer = call(address, "GET", "/metrics", "").expect("metrics");
-    assert_eq!(answer.status, 200, "{}", daemon.ready);
+    assert_eq!(answer.status, 200, "{}", daemon.ready_line);
     let line = answer.body.lines().find(|line| line.starts_with(name));
     let value = line.and_then(|line| line.rsplit_once(' ')).map(|(_, value)| value);
     value.and_then(|value| value.parse().ok()).unwrap_or_default()
 }
 
-/// Gives a loopback address for one test: another process that binds any port of 127.0.0.1 cannot take
-/// the port before the daemon does.
-fn own_address() -> String {
-    static USED: AtomicU8 = AtomicU8::new(1);
+/// Returns a loopback address that only one test uses, so that no process that listens at a port of
+/// 127.0.0.1 can take the port before the daemon.
+fn unique_metrics_address() -> String {
+    static NEXT: AtomicU8 = AtomicU8::new(1);
     let [.., high, low] = std::process::id().to_be_bytes();
-    let host = Ipv4Addr::new(127, USED.fetch_add(1, Ordering::Relaxed), high, low);
+    let host = Ipv4Addr::new(127, NEXT.fetch_add(1, Ordering::Relaxed), high, low);
     SocketAddr::from((host, METRICS_PORT)).to_string()
 }
 
-/// A fleet with a platform and the first declarations in force.
+/// A platform and one daemon, with the first declarations in force.
 struct LoggedFleet {
     _directory: TestDirectory,
     platform: TestProcess,
@@ -72,7 +72,7 @@
         let directory = TestDirectory::new(name);
         let platform = start_platform();
         let address = platform_address(&platform);
-        let metrics = own_address();
+        let metrics = unique_metrics_address();
         let extra = format!("[metrics]\nlisten = \"{metrics}\"\n");
         let plan = DaemonPlan {
             name: "d1",
@@ -85,13 +85,13 @@
         let ops = first.address("ops");
         let hash = sk_ops::hash_token(TEAM_TOKEN);
         let team = ["team", "ledvica", "--token-sha256", &hash];
-        assert!(operate(&ops, MANAGER_TOKEN, &team).status.success());
+        assert!(run_cli(&ops, MANAGER_TOKEN, &team).status.success());
         let apply = ["apply", DECLARATIONS, "--revision", "r1", "--author", "ana", "--wait"];
-        assert!(operate(&ops, TEAM_TOKEN, &apply).status.success());
+        assert!(run_cli(&ops, TEAM_TOKEN, &apply).status.success());
         Self { _directory: directory, platform, address, metrics, first }
     }
 
-    /// Starts a daemon that the first one meets.
+    /// Starts a second daemon that joins the first.
     fn start_second(&self) -> TestProcess {
         let seeds = [self.first.address("control")];
         let plan = DaemonPlan {
@@ -104,7 +104,7 @@
         start_daemon(&self._directory.0, &plan)
     }
 
-    /// Starts a server of the board beside a daemon and waits until the first daemon uses it.
+    /// Starts a server of the queue board beside a daemon and waits until the first daemon uses it.
     fn start_board(&self, daemon: &TestProcess, server: &str, slots: &str) -> TestProcess {
         let ops = daemon.address("ops");
         let service = ["--daemon", &ops, "--service", "/ledvica/queue-board"];
@@ -122,10 +122,10 @@
     }
 }
 
-/// A caller complains, and the engineer on call has the daemon's output and its metrics alone. Each
-/// end of a request must be told with the reason, the version in force and what was tried.
+/// An engineer who looks into a caller's complaint has only the daemon's output and metrics. For
+/// each request they must show the reason of its end, the version in force and the attempts.
 #[test]
-fn told_by_path() {
+fn refusals_logged() {
     let fleet = LoggedFleet::start("told_by_path");
     let (daemon, proxy, metrics) = (&fleet.first, fleet.proxy(), &fleet.metrics);
 
@@ -143,34 +143,35 @@
     wait_for("the server to be used", || {
         call(&proxy, "GET", "/board/one", "").is_ok_and(|answer| answer.status == 200)
     });
-    // Lines are written some time after their answers, and tries before the server was known have some.
+    // Lines are written some time after their answers, and attempts before the server was known
+    // have lines as well.
     let line = line_where(daemon, |line| line["path"] == "/board/one" && line["status"] == 200);
     assert!(line["tries"].as_str().is_some_and(|tries| tries.starts_with("d1/one ")), "{line}");
-    for told in
+    for text in
         ["server one of /ledvica/queue-board is here", "spread: version 1 from", "daemon: d1 runs"]
     {
-        assert!(daemon.printed().contains(told), "{told}");
+        assert!(daemon.printed().contains(text), "{text}");
     }
 
     for _ in 0..20 {
         assert_eq!(call(&proxy, "GET", "/board/many", "").expect("an answer").status, 200);
     }
-    let ran = metric(daemon, metrics, "sapphirekeel_requests_total{outcome=\"ran\"}");
+    let ran = read_metric(daemon, metrics, "sapphirekeel_requests_total{outcome=\"ran\"}");
     assert!(ran >= 21.0, "{ran}");
     let count = "sapphirekeel_request_seconds_count{outcome=\"ran\",service=\"/ledvica/queue-board\",stage=\"whole\"}";
-    assert_eq!(metric(daemon, metrics, count), ran);
+    assert_eq!(read_metric(daemon, metrics, count), ran);
     let refused = "sapphirekeel_refusals_total{reason=\"no-route\"}";
-    assert_eq!(metric(daemon, metrics, refused), 1.0);
-    assert_eq!(metric(daemon, metrics, "sapphirekeel_config_version"), 1.0);
+    assert_eq!(read_metric(daemon, metrics, refused), 1.0);
+    assert_eq!(read_metric(daemon, metrics, "sapphirekeel_config_version"), 1.0);
     drop(backend);
     assert!(fleet.first.terminate().0.success());
 }
 
-/// A request fails after it was sent, or while its caller waits: the server breaks off, the daemon
-/// beside it is paused, the caller gives up, the answer is cut. Each leaves a line that names the
-/// daemon and server that had it and why it was not tried again.
+/// Requests fail after they were sent: the server drops the connection or cuts off the answer, the
+/// caller disconnects, the daemon beside the server is paused. Each line must name the daemon and
+/// server that had the request, and why it was not retried.
 #[test]
-fn told_by_end() {
+fn failures_logged() {
     let fleet = LoggedFleet::start("told_by_end");
     let (daemon, proxy) = (&fleet.first, fleet.proxy());
     let second = fleet.start_second();
@@ -182,16 +183,16 @@
     assert!(text(&line, "tries").starts_with("d2/two 502 answer-lost"), "{line}");
     assert!(text(&line, "gave_up").contains("not repeatable"), "{line}");
 
-    // The answer ends within its body, so the call itself may read it or fail.
+    // The answer is cut off within its body, so the call may succeed or fail.
     let _ = call(&proxy, "GET", "/board/cut?fault=cut&size=200000", "");
     line_where(daemon, |line| text(line, "msg").contains("an answer was cut after its head"));
 
-    let mut leaving = std::net::TcpStream::connect(&proxy).expect("a connection");
+    let mut caller = std::net::TcpStream::connect(&proxy).expect("a connection");
     let head = "GET /board/left?work_ms=20000 HTTP/1.1\r\nHost: test\r\n\r\n";
-    leaving.write_all(head.as_bytes()).expect("the head is sent");
-    // Long enough for the request to be on its way.
+    caller.write_all(head.as_bytes()).expect("the head is sent");
+    // Long enough for the request to reach the server.
     std::thread::sleep(Duration::from_millis(300));
-    drop(leaving);
+    drop(caller);
     let is_left =
         |line: &Value| line["msg"] == "proxy: caller left." && line["path"] == "/board/left";
     let line = line_where(daemon, is_left);
@@ -208,14 +209,14 @@
     drop(fleet.platform);
 }
 
-/// More comes than a server can do, and some callers are refused. The line of each tells the
-/// figures that decided it: the usual work, the wait, what the caller had left.
+/// A server is overloaded, and some callers are refused. The line of each must show the figures
+/// that led to the refusal: the usual work, the wait, and the caller's time left.
 #[test]
-fn told_by_figures() {
+fn overload_logged() {
     let fleet = LoggedFleet::start("told_by_figures");
     let proxy = fleet.proxy();
     let _backend = fleet.start_board(&fleet.first, "one", "1");
-    // The guard learns how long such work takes.
+    // The guard learns the usual duration of such requests.
     for _ in 0..4 {
         call(&proxy, "GET", "/board/learn?work_ms=300", "").expect("an answer");
     }
@@ -228,7 +229,7 @@
         .collect();
     let answers = callers.into_iter().map(|caller| caller.join().expect("no caller panics"));
     let refused = answers.filter(|answer| matches!(answer, Ok(answer) if answer.status == 503));
-    assert!(refused.count() > 0, "twelve at once are more than one slot does in 700 ms");
+    assert!(refused.count() > 0, "one slot cannot run 12 requests of 300 ms within 700 ms");
     let is_refused =
         |line: &Value| line["path"] == "/board/full" && line["reason"] == "deadline-too-near";
     let line = line_where(&fleet.first, is_refused);
@@ -237,8 +238,9 @@
     }
 }
 
-/// Alerts are set on the histograms of the metrics. With a load whose times are known, no request
-/// is counted as faster than its work, and the sum is what the caller measured.
+/// Alerts depend on the histograms of the metrics. Under a load of known durations, no request may
+/// be counted as faster than its work, and the sum may not exceed the time that the caller
+/// measured.
 #[test]
 fn times_measured() {
     const REQUESTS: f64 = 20.0;
@@ -247,17 +249,21 @@
     let _backend = fleet.start_board(daemon, "one", "12");
     let labels = "outcome=\"ran\",service=\"/ledvica/queue-board\",stage=\"whole\"";
     let value = |name: &str, bound: &str| {
-        metric(daemon, metrics, &format!("sapphirekeel_request_seconds_{name}{{{labels}{bound}}}"))
+        read_metric(
+            daemon,
+            metrics,
+            &format!("sapphirekeel_request_seconds_{name}{{{labels}{bound}}}"),
+        )
     };
     let at_most = |bound: &str| value("bucket", &format!(",le=\"{bound}\""));
     let figures = || [at_most("0.05"), at_most("+Inf"), value("sum", ""), value("count", "")];
     let before = figures();
-    let begun = Instant::now();
+    let begin = Instant::now();
     for _ in 0..REQUESTS as usize {
         let answer = call(&proxy, "GET", "/board/timed?work_ms=60", "").expect("an answer");
         assert_eq!(answer.status, 200);
     }
-    let took = begun.elapsed().as_secs_f64();
+    let took = begin.elapsed().as_secs_f64();
     let after = figures();
     let gained: Vec<f64> =
         after.iter().zip(&before).map(|(after, before)| after - before).collect();
--- a/tests/run_once.rs
+++ b/tests/run_once.rs
@@ -1,11 +1,13 @@
-//! Requests that may not be repeated, sent again through other daemons and while the platform is
-//! away.
+//! Requests that must not run twice, resent through other daemons and during outages of the
+//! platform.
 
 mod common;
 
-use common::{CallAnswer, call, call_body, platform_address, requests::RequestFleet, wait_for};
+use common::{
+    CallAnswer, call, call_with_body, platform_address, requests::RequestFleet, wait_for,
+};
 
-/// Two daemons with a server each; callers use either.
+/// Number of daemons with a server; callers use all of them.
 const SERVERS: usize = 2;
 
 struct OnceFleet(RequestFleet);
@@ -13,21 +15,22 @@
 fn start_fleet(name: &str) -> OnceFleet {
     let fleet = RequestFleet::start(name, SERVERS);
     for index in 1..=SERVERS {
-        let is_good = |answer: CallAnswer| answer.status == 200;
-        wait_for("an answer", || call(&fleet.entry(index), "GET", "/", "").is_ok_and(is_good));
+        let is_success = |answer: CallAnswer| answer.status == 200;
+        wait_for("an answer", || call(&fleet.entry(index), "GET", "/", "").is_ok_and(is_success));
     }
     OnceFleet(fleet)
 }
 
 impl OnceFleet {
+    /// Sends a confirmation with an idempotency key, which is also its tag.
     fn post(&self, daemon: usize, key: &str) -> CallAnswer {
         let headers = format!("Idempotency-Key: {key}\r\n");
         let entry = self.0.entry(daemon);
         call(&entry, "POST", &format!("/confirm?tag={key}"), &headers).expect("an answer")
     }
 
-    /// Sends a key again until it is known that it ran. That is recorded while the answer is on its
-    /// way (a trace showed 14 ms), and until then a resend is truly told "unknown", nothing else.
+    /// Resends a key until the answer is that it ran. The outcome is recorded while the answer is
+    /// being sent (up to 14 ms later), and until then the correct answer to a resend is "unknown".
     fn wait_known(&self, daemon: usize, key: &str) {
         wait_for("the outcome to be known", || {
             let answer = self.post(daemon, key);
@@ -40,7 +43,8 @@
 
     fn set_faults(&self, faults: &str) {
         let platform = platform_address(&self.0.platform);
-        let answer = call_body(&platform, "PUT", "/v1/faults", faults).expect("platform answers");
+        let answer =
+            call_with_body(&platform, "PUT", "/v1/faults", faults).expect("platform answers");
         assert_eq!(answer.status, 204, "{answer:?}");
     }
 }
@@ -49,8 +53,8 @@
     answer.headers.get("x-sapphirekeel-outcome").map_or("", String::as_str)
 }
 
-// A phone loses the answer to a confirmation and sends it again, through whichever daemon it
-// reaches. The treatment would be confirmed twice; instead the phone learns that it ran.
+// A phone loses the answer to a confirmation and resends it through another daemon. The
+// confirmation must not run twice; the phone is answered that it ran.
 #[test]
 fn resend_elsewhere() {
     let fleet = start_fleet("resend_elsewhere");
@@ -58,13 +62,13 @@
     for daemon in [2, 1, 2] {
         fleet.wait_known(daemon, "k1");
     }
-    assert_eq!(fleet.0.runs("k1"), 1);
+    assert_eq!(fleet.0.count_runs("k1"), 1);
 }
 
-// The platform is away, so that no daemon can know whether another ran the request. It is refused
-// as not run, and the caller is told when to come back; then it runs once.
+// During an outage of the platform no daemon can know whether another one ran the request. It is
+// refused as not run, with the time for a retry; after the outage it runs once.
 #[test]
-fn platform_away() {
+fn platform_outage() {
     let fleet = start_fleet("run_once_away");
     fleet.set_faults("{\"is_down\": true}");
     let answer = fleet.post(1, "k1");
@@ -72,11 +76,11 @@
     assert!(answer.headers.contains_key("retry-after"), "{answer:?}");
     fleet.set_faults("{}");
     assert_eq!(fleet.post(2, "k1").status, 200);
-    assert_eq!(fleet.0.runs("k1"), 1);
+    assert_eq!(fleet.0.count_runs("k1"), 1);
 }
 
-// The platform takes claims and loses its answers. The guard finds its own claim in the platform
-// and runs the request; the other daemons find it too and do not.
+// The platform stores claims but loses its answers. The guard finds its own claim in the platform
+// and runs the request; the other daemons find the claim and don't.
 #[test]
 fn lost_answers() {
     let fleet = start_fleet("run_once_lost");
@@ -86,11 +90,11 @@
         let first = fleet.post(1, &key);
         assert_eq!(first.status, 200, "{first:?}");
         fleet.wait_known(2, &key);
-        assert_eq!(fleet.0.runs(&key), 1);
+        assert_eq!(fleet.0.count_runs(&key), 1);
     }
 }
 
-// Both copies of a request are under way at once, through different daemons.
+// Two copies of a request are sent at the same time through different daemons. Only one may run.
 #[test]
 fn copies_race() {
     let fleet = start_fleet("run_once_race");
@@ -101,8 +105,8 @@
             let calls = [1, 2].map(|daemon| scope.spawn(move || fleet.post(daemon, key)));
             calls.into_iter().map(|call| call.join().expect("call")).collect()
         });
-        let good = answers.iter().filter(|answer| answer.status == 200).count();
-        assert_eq!(good, 1, "{answers:?}");
-        assert_eq!(fleet.0.runs(key.as_str()), 1);
+        let successes = answers.iter().filter(|answer| answer.status == 200).count();
+        assert_eq!(successes, 1, "{answers:?}");
+        assert_eq!(fleet.0.count_runs(key.as_str()), 1);
     }
 }
--- a/tests/settings_reload.rs
+++ b/tests/settings_reload.rs
@@ -1,4 +1,4 @@
-//! Settings that change while a daemon runs.
+//! Changes of the settings file while a daemon runs.
 
 mod common;
 
@@ -8,10 +8,11 @@
     DaemonPlan, TestDirectory, call, platform_address, start_daemon, start_platform, wait_for,
 };
 
-/// SIGHUP says that the settings have changed. Without a handler it ends the process, and with it
-/// every request in flight; and a changed file may come without any signal.
+/// The settings are reloaded on SIGHUP, and also if the file changes without a signal. Without a
+/// handler SIGHUP would end the process and all requests in flight. An invalid file changes
+/// nothing.
 #[test]
-fn read_again() {
+fn settings_reloaded() {
     let directory = TestDirectory::new("read_again");
     let platform = start_platform();
     let address = platform_address(&platform);
@@ -20,18 +21,22 @@
     let mut daemon = start_daemon(&directory.0, &plan);
     let file = directory.0.join("d1.toml");
     let text = fs::read_to_string(&file).expect("settings");
-    let has_said = |daemon: &common::TestProcess, words: &str| daemon.printed().contains(words);
+    let has_logged = |daemon: &common::TestProcess, text: &str| daemon.printed().contains(text);
 
     daemon.signal("-HUP");
-    wait_for("the settings to be read", || has_said(&daemon, "settings read again, service None"));
-    assert!(daemon.ended().is_none());
+    wait_for("the settings to be read", || {
+        has_logged(&daemon, "settings read again, service None")
+    });
+    assert!(daemon.exit_status().is_none());
 
     let changed = text.replacen("region", "service = \"board\"\nregion", 1);
     fs::write(&file, changed).expect("settings can be written");
-    wait_for("the change to be seen", || has_said(&daemon, "service Some"));
+    wait_for("the change to be seen", || has_logged(&daemon, "service Some"));
 
     fs::write(&file, "[instance]\nname = 3\n").expect("settings can be written");
-    wait_for("the fault to be told", || has_said(&daemon, "new settings are invalid, the old ones stay in effect"));
+    wait_for("the fault to be logged", || {
+        has_logged(&daemon, "new settings are invalid, the old ones stay in effect")
+    });
     let answer = call(&daemon.address("proxy"), "GET", "/", "").expect("it still answers");
     assert!([404, 503].contains(&answer.status), "{answer:?}");
     let (status, printed) = daemon.terminate();
--- a/tests/spread_faults.rs
+++ b/tests/spread_faults.rs
@@ -1,4 +1,4 @@
-//! Configuration on its way while daemons and the platform fail, as separate processes.
+//! Spread of configuration while daemons and the platform fail, with separate processes.
 
 mod common;
 
@@ -9,20 +9,22 @@
 
 use common::{
     DaemonPlan, MANAGER_TOKEN, POLL_INTERVAL, TEAM_TOKEN, TestDirectory, TestProcess, WAIT_BOUND,
-    call, call_body, operate, platform_address, render, start_daemon, start_platform, wait_for,
+    call, call_with_body, platform_address, render_output, run_cli, start_daemon, start_platform,
+    wait_for,
 };
 use sk_model::content_hash;
 
-/// Time in which a change is to be in force everywhere.
-const FORCE_BOUND: Duration = Duration::from_secs(11);
-const FLEET: usize = 6;
+/// Longest time until a change is in force on all daemons.
+const MAX_IN_FORCE_TIME: Duration = Duration::from_secs(11);
+/// Number of daemons.
+const FLEET_SIZE: usize = 6;
 
 struct TestFleet {
     platform: TestProcess,
     daemons: BTreeMap<String, TestProcess>,
     directory: TestDirectory,
-    /// Greatest version seen in force, by daemon; no daemon may ever show a lesser one again.
-    seen: BTreeMap<String, u64>,
+    /// Greatest version seen in force, by daemon. No daemon may return to a lesser one.
+    greatest_versions: BTreeMap<String, u64>,
     extra: String,
 }
 
@@ -31,17 +33,17 @@
         platform: start_platform(),
         daemons: BTreeMap::new(),
         directory: TestDirectory::new(name),
-        seen: BTreeMap::new(),
+        greatest_versions: BTreeMap::new(),
         extra: String::new(),
     };
-    for index in 0..FLEET {
+    for index in 0..FLEET_SIZE {
         fleet.start(&format!("lj1-{index}"), &fleet.seeds());
     }
-    fleet.wait_met(FLEET);
+    fleet.wait_joined(FLEET_SIZE);
     let hash = sk_ops::hash_token(TEAM_TOKEN);
     let team = ["team", "ledvica", "--token-sha256", &hash];
-    let output = operate(&fleet.ops("lj1-0"), MANAGER_TOKEN, &team);
-    assert!(output.status.success(), "{}", render(&output));
+    let output = run_cli(&fleet.ops("lj1-0"), MANAGER_TOKEN, &team);
+    assert!(output.status.success(), "{}", render_output(&output));
     fleet
 }
 
@@ -58,6 +60,7 @@
         self.daemons[name].address("ops")
     }
 
+    /// Returns the control addresses of 3 daemons, for others to join.
     fn seeds(&self) -> Vec<String> {
         self.daemons.values().take(3).map(|daemon| daemon.address("control")).collect()
     }
@@ -68,8 +71,9 @@
         serde_json::from_str(&answer.body).expect("a state in JSON")
     }
 
-    fn wait_met(&self, count: usize) {
-        wait_for("the daemons to meet", || {
+    /// Waits until every daemon sees a number of members alive.
+    fn wait_joined(&self, count: usize) {
+        wait_for("the daemons to join", || {
             self.daemons.keys().all(|name| {
                 let state = self.state(name);
                 let members = state["members"].as_object().expect("members").values();
@@ -78,24 +82,24 @@
         });
     }
 
-    /// Accepts one more version through the named daemon.
-    fn change(&self, through: &str, number: u64) {
+    /// Applies a change through the named daemon, which makes one more version.
+    fn apply_change(&self, through: &str, number: u64) {
         let text = format!("kind = \"value\"\ntext = \"{number}\"\n");
         self.directory.write("declared/ledvica/number.toml", &text);
         let folder = self.directory.0.join("declared");
         let folder = folder.to_str().expect("path is text");
         let args = ["apply", folder, "--revision", "r1", "--author", "ana"];
-        let output = operate(&self.ops(through), TEAM_TOKEN, &args);
-        assert!(output.status.success(), "{}", render(&output));
+        let output = run_cli(&self.ops(through), TEAM_TOKEN, &args);
+        assert!(output.status.success(), "{}", render_output(&output));
     }
 
-    /// Gives the versions in force, and fails where one moved back. A process that has just
-    /// started and is not ready shows none.
-    fn versions(&mut self, names: &[String]) -> Vec<u64> {
+    /// Reads the versions in force and fails if one moved back. A process that has just started and
+    /// is not ready has version 0.
+    fn read_versions(&mut self, names: &[String]) -> Vec<u64> {
         let mut versions = Vec::new();
         for name in names {
             let version = self.state(name)["version"].as_u64().expect("a version");
-            let seen = self.seen.entry(name.clone()).or_default();
+            let seen = self.greatest_versions.entry(name.clone()).or_default();
             assert!(version >= *seen || version == 0, "{name} went from {seen} to {version}");
             *seen = version.max(*seen);
             versions.push(version);
@@ -103,6 +107,7 @@
         versions
     }
 
+    /// Waits until a version is in force on all daemons and returns the time that it took.
     fn wait_version(&mut self, version: u64) -> Duration {
         let names: Vec<String> = self.daemons.keys().cloned().collect();
         self.wait_version_of(&names, version)
@@ -110,8 +115,8 @@
 
     fn wait_version_of(&mut self, names: &[String], version: u64) -> Duration {
         let begin = Instant::now();
-        while self.versions(names).iter().any(|held| *held != version) {
-            assert!(begin.elapsed() < WAIT_BOUND, "waited in vain for version {version}");
+        while self.read_versions(names).iter().any(|found| *found != version) {
+            assert!(begin.elapsed() < WAIT_BOUND, "timed out waiting for version {version}");
             std::thread::sleep(POLL_INTERVAL);
         }
         begin.elapsed()
@@ -119,11 +124,12 @@
 
     fn set_faults(&self, faults: &str) {
         let platform = platform_address(&self.platform);
-        let answer = call_body(&platform, "PUT", "/v1/faults", faults).expect("platform answers");
+        let answer =
+            call_with_body(&platform, "PUT", "/v1/faults", faults).expect("platform answers");
         assert_eq!(answer.status, 204, "{answer:?}");
     }
 
-    /// Names the daemons in the order in which they are chosen as relays, as `sk-member` weighs.
+    /// Returns the names of the daemons in the order in which `sk-member` chooses relays.
     fn relay_order(&self) -> Vec<String> {
         let mut names: Vec<String> = self.daemons.keys().cloned().collect();
         names.sort_by_key(|name| std::cmp::Reverse(content_hash(format!("lj1 {name}").as_bytes())));
@@ -131,86 +137,86 @@
     }
 }
 
-/// The instance of the first relay dies in the moment in which it passes a change on. A proxy whose
-/// place in the tree was below it would go on with old routes.
+/// The first relay is killed while it forwards a change. The proxies below it in the tree must not
+/// stay on old routes.
 #[test]
 fn relay_killed() {
     let mut fleet = start_fleet("relay_killed");
     for version in 1..=3 {
         let order = fleet.relay_order();
-        fleet.change(order.last().expect("a daemon"), version);
+        fleet.apply_change(order.last().expect("a daemon"), version);
         // Sends SIGKILL.
         drop(fleet.daemons.remove(&order[0]));
         let took = fleet.wait_version(version);
         println!("in force {took:?} after the kill");
-        assert!(took < FORCE_BOUND, "took {took:?}");
+        assert!(took < MAX_IN_FORCE_TIME, "took {took:?}");
     }
 }
 
-/// A daemon's instance is frozen while three versions are accepted, and thaws with its old belief
-/// of everything. It must not go on with the old version, nor bring anyone else back to it.
+/// A daemon is paused while 3 versions are accepted, and resumes with its old state. It must not
+/// stay on the old version, nor return other daemons to it.
 #[test]
 fn paused_daemon() {
     let mut fleet = start_fleet("paused_daemon");
-    fleet.change("lj1-0", 1);
+    fleet.apply_change("lj1-0", 1);
     fleet.wait_version(1);
-    // Once a relay and once a daemon that is none.
+    // Pauses a relay first, and then a daemon that is not a relay.
     let order = fleet.relay_order();
     let mut version = 1;
-    for name in [&order[0], &order[FLEET - 1]] {
+    for name in [&order[0], &order[FLEET_SIZE - 1]] {
         fleet.daemons[name].signal("-STOP");
         let others: Vec<String> = order.iter().filter(|other| *other != name).cloned().collect();
         for _ in 0..3 {
             version += 1;
-            fleet.change(&others[0], version);
+            fleet.apply_change(&others[0], version);
             let took = fleet.wait_version_of(&others, version);
-            println!("in force {took:?} after the change beside a paused daemon");
-            assert!(took < FORCE_BOUND, "took {took:?}");
+            println!("in force {took:?} after the change, with one daemon paused");
+            assert!(took < MAX_IN_FORCE_TIME, "took {took:?}");
         }
         fleet.daemons[name].signal("-CONT");
         let took = fleet.wait_version(version);
-        println!("in force on the woken daemon after {took:?}");
-        assert!(took < FORCE_BOUND, "took {took:?}");
-        fleet.wait_met(FLEET);
+        println!("in force on the resumed daemon after {took:?}");
+        assert!(took < MAX_IN_FORCE_TIME, "took {took:?}");
+        fleet.wait_joined(FLEET_SIZE);
     }
 }
 
-/// The platform is away for a while. Proxies go on with what they hold, one that restarts gets it
-/// from its peers, and the first change after the return reaches all.
+/// The platform is unavailable for a while. Proxies keep their configuration, one that restarts
+/// gets it from its peers, and the first change after the outage reaches all.
 #[test]
-fn platform_away() {
+fn platform_outage() {
     let mut fleet = start_fleet("platform_away");
-    fleet.change("lj1-0", 1);
+    fleet.apply_change("lj1-0", 1);
     fleet.wait_version(1);
     fleet.set_faults("{\"is_down\": true}");
     let seeds = fleet.seeds();
     drop(fleet.daemons.remove("lj1-5"));
     fleet.start("lj1-5", &seeds);
     let took = fleet.wait_version(1);
-    println!("a daemon restarted in an outage holds the version after {took:?}");
+    println!("in force on a daemon restarted during the outage after {took:?}");
     fleet.set_faults("{}");
-    fleet.change("lj1-0", 2);
+    fleet.apply_change("lj1-0", 2);
     let took = fleet.wait_version(2);
-    println!("in force {took:?} after the return");
-    assert!(took < FORCE_BOUND, "took {took:?}");
+    println!("in force {took:?} after the outage");
+    assert!(took < MAX_IN_FORCE_TIME, "took {took:?}");
 }
 
-/// A power cut takes all daemons at once, and they return at new addresses; their seeds and the
-/// contacts in the platform are all stale. Each must hold the version again and find the others.
+/// A power failure ends all daemons at once, and they restart at new addresses; their seeds and the
+/// contacts in the platform are all stale. Each must get the version again and find the others.
 #[test]
 fn all_killed() {
     let mut fleet = start_fleet("all_killed");
-    fleet.change("lj1-0", 1);
+    fleet.apply_change("lj1-0", 1);
     fleet.wait_version(1);
     let stale = fleet.seeds();
     fleet.daemons.clear();
-    for index in 0..FLEET {
+    for index in 0..FLEET_SIZE {
         fleet.start(&format!("lj1-{index}"), &stale);
     }
     let took = fleet.wait_version(1);
-    println!("all hold the version again after {took:?}");
-    assert!(took < FORCE_BOUND, "took {took:?}");
-    fleet.wait_met(FLEET);
-    fleet.change("lj1-3", 2);
+    println!("in force on all daemons after {took:?}");
+    assert!(took < MAX_IN_FORCE_TIME, "took {took:?}");
+    fleet.wait_joined(FLEET_SIZE);
+    fleet.apply_change("lj1-3", 2);
     fleet.wait_version(2);
 }
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -1,12 +1,14 @@
-//! The whole path as separate processes, from an operator's change to a caller's answer.
+//! The path from an operator's change to a caller's answer, with separate processes. The output of
+//! the commands is compared with a golden file.
 
 mod common;
 
 use std::fmt::Write;
 
 use common::{
-    DaemonPlan, MANAGER_TOKEN, TEAM_TOKEN, TestDirectory, TestProcess, call, in_force, is_utc,
-    operate, platform_address, render, start_backend, start_daemon, start_platform, wait_for,
+    DaemonPlan, MANAGER_TOKEN, TEAM_TOKEN, TestDirectory, TestProcess, call, is_utc,
+    platform_address, read_in_force, render_output, run_cli, start_backend, start_daemon,
+    start_platform, wait_for,
 };
 use expect_test::expect_file;
 
@@ -17,7 +19,7 @@
     ("lj2-board-1", "lj2", "/ledvica/queue-board"),
 ];
 
-/// Replaces what differs from run to run: times of day and durations.
+/// Replaces times and durations, which differ from run to run.
 fn normalise(text: &str) -> String {
     let mut lines = Vec::new();
     for line in text.lines() {
@@ -38,7 +40,7 @@
     lines.join("\n") + "\n"
 }
 
-/// The daemon a version came from depends on which of two relays was quicker.
+/// Replaces the source of a version, which depends on the faster of two relays.
 fn hide_source(text: &str) -> String {
     let mut text = text.replace("platform             in force", "<source>             in force");
     for (name, ..) in DAEMONS {
@@ -63,12 +65,13 @@
         daemons.push(daemon);
     }
     let ops = daemons[0].address("ops");
-    wait_for("all daemons to meet", || in_force(&ops).1 == 3);
+    wait_for("all daemons to join", || read_in_force(&ops).1 == 3);
 
     let mut session = String::new();
     let mut step = |token: &str, args: &[&str], shown: &str| {
-        let output = operate(&ops, token, args);
-        writeln!(session, "$ sapphirekeel {shown}\n{}", render(&output)).expect("string grows");
+        let output = run_cli(&ops, token, args);
+        writeln!(session, "$ sapphirekeel {shown}\n{}", render_output(&output))
+            .expect("string grows");
     };
     let hash = sk_ops::hash_token(TEAM_TOKEN);
     let team = ["team", "ledvica", "--token-sha256", &hash];
@@ -77,15 +80,15 @@
     let revision = ["--revision", "4f2a", "--author", "ana"];
     let apply = [&["apply", DECLARATIONS, "--wait"], &revision[..]].concat();
     step("wrong", &apply, "apply DIR --wait --revision 4f2a --author ana (wrong token)");
-    let output = operate(&ops, TEAM_TOKEN, &apply);
-    assert!(output.status.success(), "{}", render(&output));
-    wait_for("3 of 3 in force", || in_force(&ops) == (3, 3));
+    let output = run_cli(&ops, TEAM_TOKEN, &apply);
+    assert!(output.status.success(), "{}", render_output(&output));
+    wait_for("3 of 3 in force", || read_in_force(&ops) == (3, 3));
     step(TEAM_TOKEN, &["plan", DECLARATIONS], "plan DIR");
     step(MANAGER_TOKEN, &["report"], "report");
     let withdraw = [&["withdraw", "/ledvica/queue-board"], &revision[..]].concat();
     step(TEAM_TOKEN, &withdraw, "withdraw /ledvica/queue-board --revision 4f2a --author ana");
 
-    // Enters beside a queue board and is served beside the other data centre's records.
+    // The entry daemon is beside a queue board; the records' server is in the other data centre.
     let entry = daemons[2].address("proxy");
     wait_for("an answer", || {
         call(&entry, "GET", "/treatments/7", "").is_ok_and(|a| a.status == 200)
@@ -95,7 +98,7 @@
     assert_eq!(call(&entry, "GET", "/nothing", "").expect("an answer").status, 404);
 
     for process in backends.into_iter().chain(daemons) {
-        let ready = process.ready.clone();
+        let ready = process.ready_line.clone();
         let (status, _) = process.terminate();
         assert!(status.success(), "{ready}: {status}");
     }
