--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -73,8 +73,8 @@
     match faults.is_empty() {
         true => Ok(format!("{count} good declarations")),
         false => {
-            let name = directory.display();
-            Err(faults.iter().map(|fault| format!("{name}: {fault}")).collect())
+            let shown = directory.display();
+            Err(faults.iter().map(|fault| format!("{shown}: {fault}")).collect())
         }
     }
 }
