--- a/tests/accept_faults.rs
+++ b/tests/accept_faults.rs
@@ -87,8 +87,8 @@
     // Either one was refused, or the second had read the first and replaced it knowingly.
     match accepted {
         1 => {
-            let refused = outputs.iter().find(|output| !output.status.success());
-            let refused = refused.expect("one was refused");
+            let refused =
+                outputs.iter().find(|output| !output.status.success()).expect("one was refused");
             assert_eq!(refused.status.code(), Some(1));
             assert!(render_output(refused).contains("version 1 by"), "{}", render_output(refused));
             assert!(!history.contains("version 2"), "{history}");
--- a/tests/common/requests.rs
+++ b/tests/common/requests.rs
@@ -189,6 +189,7 @@
 }
 
 impl TestAnswer {
+    /// Returns the outcome that the proxy reports in its header.
     pub fn outcome(&self) -> &str {
         self.header("x-sapphirekeel-outcome")
     }
--- a/tests/fleet_model.rs
+++ b/tests/fleet_model.rs
@@ -214,6 +214,7 @@
         self.check().await;
     }
 
+    /// Submits a change of one team and records its outcome.
     async fn submit(
         &mut self,
         team_index: usize,
@@ -249,6 +250,7 @@
         assert!(self.accepted.insert(version, settings).is_none(), "version given twice");
     }
 
+    /// Offers a proxy the newest configuration of the platform.
     async fn load(&mut self, proxy: usize) {
         let held = &self.proxies[proxy].held;
         if let Ok(snapshot) = self.ledger.load(&held.current()).await {
--- a/tests/proxy_drains.rs
+++ b/tests/proxy_drains.rs
@@ -83,8 +83,8 @@
             let entry = entry.clone();
             let path = format!("/confirm?work_ms=700&size=100000&tag=e{number}");
             tokio::spawn(async move {
-                let client = new_client();
-                send_request(&client, &entry, "POST", &path).await
+                let client = common::requests::new_client();
+                common::requests::send_request(&client, &entry, "POST", &path).await
             })
         })
         .collect();
--- a/tests/settings_reload.rs
+++ b/tests/settings_reload.rs
@@ -21,7 +21,8 @@
     let mut daemon = start_daemon(&directory.0, &plan);
     let file = directory.0.join("d1.toml");
     let text = fs::read_to_string(&file).expect("settings");
-    let has_logged = |daemon: &common::TestProcess, text: &str| daemon.printed().contains(text);
+    let has_logged =
+        |daemon: &common::TestProcess, message: &str| daemon.printed().contains(message);
 
     daemon.signal("-HUP");
     wait_for("the settings to be read", || {
