--- a/src/cli.rs
+++ b/src/cli.rs
@@ -64,7 +64,7 @@
 
 /// Checks offline: a file as settings of a daemon, a directory as declarations.
 ///
-/// DIR/<team>/a/b.toml declares the setting /<team>/a/b. Hidden entries and .md files are ignored.
+/// DIR/TEAM/a/b.toml declares the setting /TEAM/a/b. Hidden entries and .md files are ignored.
 /// Any other name is refused, so that a mistyped name is not silently ignored.
 /// Faults are printed as FILE:LINE:COLUMN. Exit codes: 0 all valid, 1 faults found, 2 usage error.
 #[derive(Debug, Options)]
