--- a/components/claim/src/book.rs
+++ b/components/claim/src/book.rs
@@ -5,7 +5,7 @@
     sync::{Mutex, PoisonError},
 };
 
-use sk_model::unix_now;
+use sk_model::unix_time_ms;
 use sk_store::SharedStore;
 use tokio::sync::{mpsc, oneshot};
 
@@ -124,7 +124,7 @@
     while queue.recv_many(&mut batch, settings.max_batch).await > 0 {
         let operations: Vec<ClaimOperation> =
             batch.iter().map(|queued| queued.operation.clone()).collect();
-        let result = writer.commit(&store, &settings, partition, &operations, unix_now()).await;
+        let result = writer.commit(&store, &settings, partition, &operations, unix_time_ms()).await;
         if let Err(err) = &result {
             log::warn!("claim: partition {partition}: {err}.");
         }
--- a/components/claim/tests/at_most_once.rs
+++ b/components/claim/tests/at_most_once.rs
@@ -29,7 +29,7 @@
         Just(CallFault::None),
         Just(CallFault::LoseAnswer),
         Just(CallFault::LoseRequest),
-        (0..40_u64).prop_map(CallFault::LateBy),
+        (0..40_u64).prop_map(CallFault::DelayByMs),
     ]
 }
 
@@ -45,16 +45,16 @@
 
 /// Runs the steps and returns the number of grants by key.
 async fn count_grants(steps: Vec<Step>) -> BTreeMap<u8, u32> {
-    let fault_store = FaultStore::interleaved();
+    let fault_store = FaultStore::new_interleaved();
     let store: SharedStore = fault_store.clone();
     let book = || Arc::new(ClaimBook::new(store.clone(), settings()));
     let mut books = [book(), book(), book()];
     let (mut grants, mut attempt) = (BTreeMap::new(), 0);
     for step in steps {
         match step {
-            Step::Outage(is_down) => fault_store.inner.set_down(is_down),
+            Step::Outage(is_down) => fault_store.inner.set_outage(is_down),
             Step::Restart(daemon) => books[daemon] = book(),
-            Step::Faults(faults) => fault_store.plan_more(&faults),
+            Step::Faults(faults) => fault_store.plan_faults_before(&faults),
             Step::Attempts(attempts) => {
                 let mut tasks = JoinSet::new();
                 for (daemon, key) in attempts {
@@ -147,10 +147,10 @@
 async fn platform_unavailable() {
     let fake = Arc::new(FakeStore::new());
     let store: SharedStore = fake.clone();
-    fake.set_down(true);
+    fake.set_outage(true);
     let book = ClaimBook::new(store, settings());
     let key = claim_key("/a/b", "one");
     assert!(book.claim(&key, 1).await.is_err());
-    fake.set_down(false);
+    fake.set_outage(false);
     assert_eq!(book.claim(&key, 2).await, Ok(ClaimVerdict::Granted));
 }
--- a/components/daemon/src/daemon.rs
+++ b/components/daemon/src/daemon.rs
@@ -348,7 +348,7 @@
 fn own_record(settings: &DaemonSettings, addresses: DaemonAddresses) -> MemberRecord {
     MemberRecord {
         proxy: settings.instance.name.clone(),
-        incarnation: sk_model::unix_now(),
+        incarnation: sk_model::unix_time_ms(),
         sequence: 1,
         status: MemberStatus::Alive,
         data_centre: settings.instance.data_centre.clone(),
--- a/components/daemon/src/dump.rs
+++ b/components/daemon/src/dump.rs
@@ -45,7 +45,7 @@
 /// Counts the requests that are refused now because they crash servers.
 fn count_quarantined(board: &QuarantineBoard) -> u64 {
     let hold = QuarantineSettings::default().hold;
-    let since = Duration::from_millis(sk_model::unix_now()).saturating_sub(hold);
+    let since = Duration::from_millis(sk_model::unix_time_ms()).saturating_sub(hold);
     let entries = board.entries();
     entries.iter().filter(|record| record.convicted_at(since).is_some()).count() as u64
 }
--- a/components/daemon/src/options.rs
+++ b/components/daemon/src/options.rs
@@ -72,7 +72,7 @@
         floor: placing.retry_floor,
         is_shared: placing.retry_shared,
         free_moves: placing.free_moves,
-        again_after_failure: !is_disabled(settings, Mechanism::FailedAgain),
+        again_after_failure: !is_disabled(settings, Mechanism::FailureRetries),
         ..RetrySettings::default()
     };
     TableTuning { placement, retry }
@@ -124,8 +124,8 @@
                 Some(thousandths) => thousandths as f64 / 1000.0,
                 None => cold_hold(settings.placing.order),
             },
-            makes_room: !is_disabled(settings, Mechanism::MadeRoom),
-            bounds_by_link: !is_disabled(settings, Mechanism::LinkRoom),
+            makes_room: !is_disabled(settings, Mechanism::Eviction),
+            bounds_by_link: !is_disabled(settings, Mechanism::LinkLimit),
             ..admitting::GuardSettings::default()
         },
         pacer: PacerSettings { limit: settings.guard.connections, ..PacerSettings::default() },
--- a/components/daemon/src/platform.rs
+++ b/components/daemon/src/platform.rs
@@ -8,7 +8,7 @@
 use sk_ledger::Ledger;
 use sk_model::ServiceName;
 use sk_proxy::{OwnWords, RequestWords};
-use sk_settings::{PlatformForm, PlatformSettings};
+use sk_settings::{PlatformKind, PlatformSettings};
 use sk_spread::ConfigSource;
 use sk_store::{HttpStore, SharedStore};
 
@@ -16,7 +16,7 @@
 
 /// The platform as the daemon's parts use it.
 pub(crate) struct PlatformAdapter {
-    form: PlatformForm,
+    form: PlatformKind,
     /// Store of everything that must outlast the fleet's processes.
     pub(crate) store: SharedStore,
     /// Reads and writes the headers of callers and backend servers.
@@ -31,13 +31,13 @@
         let timeout = Duration::from_millis(settings.timeout_ms);
         let address = settings.address.to_string();
         match settings.form {
-            PlatformForm::Own => Self {
+            PlatformKind::Own => Self {
                 form: settings.form,
                 store: Arc::new(HttpStore::new(&address, timeout)),
                 words: Arc::new(OwnWords),
                 external: None,
             },
-            PlatformForm::Objects => {
+            PlatformKind::Objects => {
                 let api = ObjectApi::new(&address, timeout);
                 Self {
                     form: settings.form,
@@ -65,8 +65,8 @@
     /// Returns the path of the service setting for a service as the platform names it.
     pub(crate) fn service_path(&self, service: &str) -> ServiceName {
         match self.form {
-            PlatformForm::Own => service.to_owned(),
-            PlatformForm::Objects => service_path(service),
+            PlatformKind::Own => service.to_owned(),
+            PlatformKind::Objects => service_path(service),
         }
     }
 }
--- a/components/daemon/src/port.rs
+++ b/components/daemon/src/port.rs
@@ -16,7 +16,9 @@
     EndpointRecord, EndpointStatus, HeartbeatBook, HeartbeatVerdict, MemberBoard, MemberRecord,
     MemberTable, ServerHeartbeat,
 };
-use sk_model::{ChangeRecord, ChangeRequest, ConfigSnapshot, ProxyId, TeamName, Version, unix_now};
+use sk_model::{
+    ChangeRecord, ChangeRequest, ConfigSnapshot, ProxyId, TeamName, Version, unix_time_ms,
+};
 use sk_ops::{
     HeldView, MAX_SERVICES, OperatorPort, OpsError, ServerAnnouncement, ServerBeat, ServerState,
     StateDump, TeamRecord, TeamView,
@@ -82,7 +84,7 @@
             let reason = "the platform's operator writes this fleet's configuration".to_owned();
             return Err(OpsError::Forbidden { reason });
         }
-        let now = unix_now();
+        let now = unix_time_ms();
         let record = self.ledger.submit(&request, now).await;
         let record = record.map_err(|err| match err {
             // The other team's change must not be shown to this team.
@@ -98,7 +100,7 @@
 
     async fn outcome(&self, change_id: &str) -> Result<Option<ChangeRecord>, OpsError> {
         let record = self.ledger.outcome(change_id).await;
-        record.map_err(|err| OpsError::from_ledger(&err, unix_now()))
+        record.map_err(|err| OpsError::from_ledger(&err, unix_time_ms()))
     }
 
     async fn newest(&self) -> Result<HeldView, OpsError> {
@@ -112,7 +114,7 @@
         max_records: usize,
     ) -> Result<Vec<ChangeRecord>, OpsError> {
         let records = self.ledger.history(from, max_records).await;
-        records.map_err(|err| OpsError::from_ledger(&err, unix_now()))
+        records.map_err(|err| OpsError::from_ledger(&err, unix_time_ms()))
     }
 
     async fn report(&self) -> Result<FleetReport, OpsError> {
@@ -200,7 +202,7 @@
     }
 
     fn leave(&self, name: &str) -> Result<(), OpsError> {
-        let process = self.lock_heartbeats().leave(name, unix_now(), process_now());
+        let process = self.lock_heartbeats().leave(name, unix_time_ms(), process_now());
         log::info!("ops: server {name} deregistered.");
         if process.is_some_and(|process| self.servers.retire(&process)) {
             publish_endpoints(&self.servers, &self.members);
@@ -217,7 +219,7 @@
             return Ok(self.held.newest());
         }
         let snapshot = self.ledger.load(&self.held.current()).await;
-        snapshot.map(Arc::new).map_err(|err| OpsError::from_ledger(&err, unix_now()))
+        snapshot.map(Arc::new).map_err(|err| OpsError::from_ledger(&err, unix_time_ms()))
     }
 
     fn lock_heartbeats(&self) -> MutexGuard<'_, HeartbeatBook> {
--- a/components/daemon/src/reachability.rs
+++ b/components/daemon/src/reachability.rs
@@ -23,7 +23,7 @@
 
     /// Updates the times from the current members; a daemon that is reachable again is removed.
     fn observe(&self, view: &MemberView, marks: &MemberMarks) {
-        let now = sk_model::unix_now();
+        let now = sk_model::unix_time_ms();
         let is_unreachable = |record: &MemberRecord| {
             !record.is_present() || marks.get(&record.proxy) == Some(&LocalMark::Unreachable)
         };
--- a/components/daemon/src/scrape.rs
+++ b/components/daemon/src/scrape.rs
@@ -192,7 +192,8 @@
     let single =
         |name, help, count| writer.gauge(name, help, SCOPE_LABEL, &[(DAEMON_SCOPE, count)]);
     single("sapphirekeel_config_version", "Version in force.", state.version)?;
-    let age_ms = if state.since > 0 { sk_model::unix_now().saturating_sub(state.since) } else { 0 };
+    let age_ms =
+        if state.since > 0 { sk_model::unix_time_ms().saturating_sub(state.since) } else { 0 };
     single("sapphirekeel_config_since_seconds", "Age of the version in force.", age_ms / 1000)?;
     let is_away = u64::from(state.control.source_fault.is_some());
     single("sapphirekeel_source_away", "1 while the source does not answer.", is_away)?;
--- a/components/daemon/src/tasks.rs
+++ b/components/daemon/src/tasks.rs
@@ -91,8 +91,8 @@
     loop {
         tokio::time::sleep(pause).await;
         match book.flush(&store).await {
-            Ok(()) => outage.back(),
-            Err(err) => outage.lost(&err),
+            Ok(()) => outage.record_success(),
+            Err(err) => outage.record_failure(&err),
         }
     }
 }
--- a/components/daemon/src/team_records.rs
+++ b/components/daemon/src/team_records.rs
@@ -48,7 +48,7 @@
             Err(err) => return Err(store_to_ops_error(&err)),
         }
     }
-    Err(OpsError::NotAccepted { retry_at: sk_model::unix_now() + RETRY_AFTER_MS })
+    Err(OpsError::NotAccepted { retry_at: sk_model::unix_time_ms() + RETRY_AFTER_MS })
 }
 
 fn team_key(prefix: &str, team: &str) -> String {
@@ -58,7 +58,7 @@
 /// Converts an error of the platform into a refusal for operators.
 pub(crate) fn store_to_ops_error(err: &StoreError) -> OpsError {
     match err.is_transient() {
-        true => OpsError::NotAccepted { retry_at: sk_model::unix_now() + RETRY_AFTER_MS },
+        true => OpsError::NotAccepted { retry_at: sk_model::unix_time_ms() + RETRY_AFTER_MS },
         false => OpsError::Internal { reason: err.to_string() },
     }
 }
--- a/components/ledger/src/check.rs
+++ b/components/ledger/src/check.rs
@@ -75,7 +75,7 @@
         let (path, team) = (path.clone(), request.team.clone());
         return Err(MalformedChange::ForeignPath { path, team });
     }
-    body.map_or(Ok(()), SettingBody::check)
+    body.map_or(Ok(()), SettingBody::check_bounds)
         .map_err(|err| MalformedChange::Body { path: path.clone(), reason: err.to_string() })
 }
 
--- a/components/ledger/tests/call_counts.rs
+++ b/components/ledger/tests/call_counts.rs
@@ -52,7 +52,7 @@
     let latency = Duration::from_millis(2);
     let began = std::time::Instant::now();
     let tasks = (0..TEAMS).map(|team| {
-        let store = FaultStore::slow(&platform, latency);
+        let store = FaultStore::with_latency(&platform, latency);
         let ledger = Ledger::new(store.clone(), LedgerSettings::default());
         let (id, path) = (format!("t{team}"), format!("/team{team}/service"));
         let change = request(&id, "ana", 0, &[(&path, Some(service()))]);
--- a/components/ledger/tests/long_history.rs
+++ b/components/ledger/tests/long_history.rs
@@ -57,9 +57,9 @@
     write_many(&ledger, 1, 1).await;
     let reader_store = FaultStore::new(&store.inner);
     let reader = quick_ledger(&reader_store);
-    reader_store.plan(&[sk_store::CallFault::None, Pause]);
+    reader_store.plan_faults(&[sk_store::CallFault::None, Pause]);
     let task = tokio::spawn(async move { reader.outcome("c1").await });
-    if !reader_store.settle(&task).await {
+    if !reader_store.wait_ended_or_paused(&task).await {
         write_many(&ledger, 2, 30).await;
         reader_store.resume();
     }
--- a/components/ledger/tests/lost_answers.rs
+++ b/components/ledger/tests/lost_answers.rs
@@ -8,7 +8,7 @@
 use sk_ledger::SubmitError;
 use sk_model::{ChangeRecord, ChangeRequest};
 use sk_store::{
-    CallFault::{Delay, LoseAnswer, LoseRequest, None as Fine, Outage, Pause},
+    CallFault::{DelayUntilDelivered, LoseAnswer, LoseRequest, None as Fine, Outage, Pause},
     FaultStore,
 };
 
@@ -28,10 +28,10 @@
         let store = FaultStore::new(&Arc::default());
         let ledger = quick_ledger(&store);
         let change = request("c1", "ana", 0, &[("/one/service", Some(service()))]);
-        store.plan(&at_put(&[fault, Outage]));
+        store.plan_faults(&at_put(&[fault, Outage]));
         let answer = ledger.submit(&change, 1).await;
         assert_eq!(answer, Err(SubmitError::Unknown { change_id: "c1".to_owned() }));
-        store.plan(&[]);
+        store.plan_faults(&[]);
         assert_eq!(ledger.outcome("c1").await.expect("up").is_some(), is_in_force);
         assert_eq!(ledger.submit(&change, 2).await.expect("accepted").version, 1);
         assert_eq!(ledger.history(1, 9).await.expect("up").len(), 1);
@@ -47,9 +47,9 @@
     let ledger = quick_ledger(&store);
     let other = quick_ledger(&FaultStore::new(&store.inner));
     let change = request("c1", "ana", 0, &[("/one/service", Some(service()))]);
-    store.plan(&at_put(&[fault, Pause]));
+    store.plan_faults(&at_put(&[fault, Pause]));
     let task = tokio::spawn(async move { ledger.submit(&change, 1).await });
-    assert!(!store.settle(&task).await);
+    assert!(!store.wait_ended_or_paused(&task).await);
     for (request, version) in meanwhile.iter().zip(1..) {
         assert_eq!(other.submit(request, 2).await.expect("accepted").version, version);
     }
@@ -63,9 +63,9 @@
 #[tokio::test]
 async fn late_arrival() {
     let second = request("c2", "bor", 0, &[("/two/value", Some(value(1)))]);
-    let (store, answer) = submit_around(Delay, &[second]).await;
+    let (store, answer) = submit_around(DelayUntilDelivered, &[second]).await;
     assert_eq!(answer.expect("accepted").version, 2);
-    store.arrive().await;
+    store.deliver_delayed().await;
     let history = quick_ledger(&store).history(1, 9).await.expect("up");
     let ids: Vec<_> = history.iter().map(|record| &*record.change_id).collect();
     assert_eq!(ids, ["c2", "c1"]);
--- a/components/ledger/tests/naive/mod.rs
+++ b/components/ledger/tests/naive/mod.rs
@@ -95,7 +95,7 @@
             head.after_commit(tree.hash(), LedgerEntry { record: record.clone(), digest }, 0);
         let next = serde_json::to_string(&next).expect("JSON");
         match revision {
-            _ if !self.is_conditional => self.store.put_blindly(HEAD, next).await?,
+            _ if !self.is_conditional => self.store.put_unconditionally(HEAD, next).await?,
             Some(revision) => self.store.replace(HEAD, revision, next).await?,
             None => self.store.create(HEAD, next).await?,
         };
--- a/components/ledger/tests/operator_session.rs
+++ b/components/ledger/tests/operator_session.rs
@@ -46,9 +46,9 @@
     let slower = request("a3", "ana", 1, std::slice::from_ref(&queue));
     log += &submit(&ana, 6, &slower).await;
     let newer = ChangeRequest { change_id: "a4".to_owned(), base: 3, ..slower };
-    store.plan(&[CallFault::Outage]);
+    store.plan_faults(&[CallFault::Outage]);
     log += &submit(&ana, 7, &newer).await;
-    store.plan(&[]);
+    store.plan_faults(&[]);
     log += &submit(&ana, 8, &newer).await;
     log += &submit(&bor, 9, &newer).await;
     let known = bor.load(&ConfigSnapshot::default()).await.expect("up");
--- a/components/ledger/tests/racing_operators.rs
+++ b/components/ledger/tests/racing_operators.rs
@@ -50,12 +50,12 @@
 fn any_step() -> impl Strategy<Value = Step> {
     let fault = prop_oneof![
         16 => Just(CallFault::None),
-        1 => Just(CallFault::Down),
+        1 => Just(CallFault::Refuse),
         1 => Just(CallFault::Outage),
         2 => Just(CallFault::Pause),
         2 => Just(CallFault::LoseAnswer),
         1 => Just(CallFault::LoseRequest),
-        2 => Just(CallFault::Delay),
+        2 => Just(CallFault::DelayUntilDelivered),
     ];
     let id = prop_oneof![
         8 => Just(IdChoice::New),
@@ -66,8 +66,11 @@
     let write = (0_usize..20, prop::option::weighted(0.8, 0_usize..4));
     let writes = prop::collection::vec(write, 1..4);
     // Most of the relevant answers are lost just before an outage, at a call of any number.
-    let lost =
-        prop::sample::select(vec![CallFault::LoseAnswer, CallFault::LoseRequest, CallFault::Delay]);
+    let lost = prop::sample::select(vec![
+        CallFault::LoseAnswer,
+        CallFault::LoseRequest,
+        CallFault::DelayUntilDelivered,
+    ]);
     let outage = (0_usize..12, lost).prop_map(|(calls, lost)| {
         let faults = std::iter::repeat_n(CallFault::None, calls);
         faults.chain([lost, CallFault::Outage]).collect()
@@ -122,7 +125,7 @@
                 }
                 Step::Submit(_) => {}
                 Step::Resume(operator) => self.resume(*operator).await,
-                Step::Arrive(operator) => self.operators[*operator].store.arrive().await,
+                Step::Arrive(operator) => self.operators[*operator].store.deliver_delayed().await,
             }
             self.check_history().await?;
         }
@@ -156,7 +159,7 @@
         let expected_label = self.model.expected_label(&request);
         self.requests.push(request.clone());
         let running = &mut self.operators[operator];
-        running.store.plan(faults);
+        running.store.plan_faults(faults);
         let acceptor = Arc::clone(&running.acceptor);
         let submitted = request.clone();
         let task = tokio::spawn(async move { acceptor.accept(&submitted).await });
@@ -175,7 +178,7 @@
         let operator = &mut self.operators[operator];
         operator.store.resume();
         let Some((request, task)) = operator.running.take() else { return };
-        match operator.store.settle(&task).await {
+        match operator.store.wait_ended_or_paused(&task).await {
             true => self.answers.push((request, task.await.expect("no panic"))),
             false => operator.running = Some((request, task)),
         }
@@ -229,9 +232,9 @@
     /// Ends all faults, lets all delayed calls arrive, and resolves each unknown outcome.
     async fn resolve_all(&mut self) -> Result<(), String> {
         for operator in 0..OPERATORS {
-            self.operators[operator].store.plan(&[]);
+            self.operators[operator].store.plan_faults(&[]);
             self.resume(operator).await;
-            self.operators[operator].store.arrive().await;
+            self.operators[operator].store.deliver_delayed().await;
             self.check_history().await?;
         }
         let open = self.answers.iter().filter(|(_, answer)| is_unknown(answer));
--- a/components/logs/src/outage.rs
+++ b/components/logs/src/outage.rs
@@ -29,7 +29,7 @@
     }
 
     /// Records a failed call; the first one of an outage is logged with its reason.
-    pub fn lost(&self, reason: &dyn Display) {
+    pub fn record_failure(&self, reason: &dyn Display) {
         let mut outage = self.outage.lock().unwrap_or_else(PoisonError::into_inner);
         match &mut *outage {
             Some(current) => current.failures += 1,
@@ -42,12 +42,12 @@
 
     /// Ends the outage without a line. For a dependency that is no longer called, so that it is not
     /// known whether it is available again.
-    pub fn dismiss(&self) {
+    pub fn end_without_line(&self) {
         self.outage.lock().unwrap_or_else(PoisonError::into_inner).take();
     }
 
     /// Records a successful call; the first one after an outage is logged with its duration.
-    pub fn back(&self) {
+    pub fn record_success(&self) {
         let outage = self.outage.lock().unwrap_or_else(PoisonError::into_inner).take();
         if let Some(OpenOutage { since, failures }) = outage {
             let away_ms = u64::try_from(since.elapsed().as_millis()).unwrap_or(u64::MAX);
--- a/components/measure/src/fleet.rs
+++ b/components/measure/src/fleet.rs
@@ -10,7 +10,7 @@
 use sk_model::ChangeRecord;
 use sk_ops::{StateDump, TeamRecord, hash_token};
 use sk_report::{ChangeReport, FleetReport};
-use sk_settings::{LoopbackPlan, loopback_text};
+use sk_settings::{LoopbackSettings, render_loopback_settings};
 use sk_standin::PlatformCounts;
 
 use crate::{
@@ -86,7 +86,7 @@
         let seeds: Result<Vec<String>, _> =
             running.map(|daemon| daemon.address("control")).collect();
         let data_centre = index % self.plan.data_centres;
-        let text = loopback_text(&LoopbackPlan {
+        let text = render_loopback_settings(&LoopbackSettings {
             name: &format!("daemon{index:03}"),
             data_centre: &format!("dc{data_centre}"),
             region: &format!("region{}", data_centre % REGION_COUNT),
--- a/components/member/src/heartbeat.rs
+++ b/components/member/src/heartbeat.rs
@@ -107,9 +107,14 @@
     }
 
     /// Records that a server leaves, and returns the identifier of its process if it is known.
-    /// `unix_now` is the time on the clock of this instance: if the server was not heard before,
-    /// every process with an earlier start counts as left.
-    pub fn leave(&mut self, name: &str, unix_now: UnixMillis, now: Duration) -> Option<ServerId> {
+    /// `unix_time_ms` is the time on the clock of this instance: if the server was not heard
+    /// before, every process with an earlier start counts as left.
+    pub fn leave(
+        &mut self,
+        name: &str,
+        unix_time_ms: UnixMillis,
+        now: Duration,
+    ) -> Option<ServerId> {
         match self.processes.get_mut(name) {
             Some(process) => {
                 process.has_left = true;
@@ -119,7 +124,7 @@
                 // A restarted daemon may receive the leave report first and an older heartbeat
                 // after it.
                 let state = ProcessState {
-                    born: unix_now,
+                    born: unix_time_ms,
                     sequence: 0,
                     has_left: true,
                     address: None,
--- a/components/member/src/neighbours.rs
+++ b/components/member/src/neighbours.rs
@@ -155,8 +155,8 @@
         }
     }
 
-    /// Returns whether the neighbour was not heard for too long, or for a shorter time after a reset
-    /// of its connection.
+    /// Returns whether the neighbour was not heard for too long, or for a shorter time after a
+    /// reset of its connection.
     fn is_silent(&self, now: Duration, options: &MonitorOptions) -> bool {
         let deadline = match self.reset_at {
             Some(reset_at) => {
--- a/components/model/src/change.rs
+++ b/components/model/src/change.rs
@@ -53,7 +53,7 @@
 /// Returns the writes that turn the accepted settings into the declared ones.
 ///
 /// Settings that are equal on both sides are not written.
-pub fn make_writes(
+pub fn diff_settings(
     accepted: &BTreeMap<SettingPath, SettingBody>,
     declared: &BTreeMap<SettingPath, SettingBody>,
 ) -> SettingWrites {
--- a/components/model/src/clock.rs
+++ b/components/model/src/clock.rs
@@ -15,6 +15,6 @@
 }
 
 /// Returns [`unix_time`] in milliseconds.
-pub fn unix_now() -> UnixMillis {
+pub fn unix_time_ms() -> UnixMillis {
     unix_time().as_millis() as UnixMillis
 }
--- a/components/model/src/declaration.rs
+++ b/components/model/src/declaration.rs
@@ -11,7 +11,7 @@
     de::{DeTable, DeValue, Deserializer},
 };
 
-use crate::{ServiceName, TextPlace};
+use crate::{ServiceName, TextPosition};
 
 /// Largest accepted declaration, in bytes. A team with a thousand settings still fits one platform
 /// value.
@@ -61,7 +61,7 @@
 /// How the requests of a route may be handled, regardless of their method.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
-pub enum RouteKind {
+pub enum RouteHandling {
     /// Requests that may run more than once.
     Safe,
     /// Requests that run at most once, even where their method is a read such as GET.
@@ -99,7 +99,7 @@
     pub split: Vec<SplitPart>,
     /// How the requests may be handled. Absent where the method and `repeatable` decide.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub handling: Option<RouteKind>,
+    pub handling: Option<RouteHandling>,
     /// Whether requests may run twice without harm, in addition to methods that always may.
     #[serde(default)]
     pub repeatable: bool,
@@ -220,10 +220,10 @@
 
 /// An error in a declaration together with its position in the text.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("{place}: {error}")]
-pub struct DeclarationFault {
+#[error("{position}: {error}")]
+pub struct LocatedDeclarationError {
     /// Line and column of the error.
-    pub place: TextPlace,
+    pub position: TextPosition,
     /// The error itself.
     pub error: DeclarationError,
 }
@@ -232,17 +232,17 @@
 ///
 /// # Errors
 ///
-/// Returns a [`DeclarationFault`] for text that is too large, not TOML, of an unknown kind, with
-/// an unknown key, or with a field out of bounds.
-pub fn parse_declaration(text: &str) -> Result<SettingBody, DeclarationFault> {
+/// Returns a [`LocatedDeclarationError`] for text that is too large, not TOML, of an unknown kind,
+/// with an unknown key, or with a field out of bounds.
+pub fn parse_declaration(text: &str) -> Result<SettingBody, LocatedDeclarationError> {
     if text.len() > MAX_DECLARATION_BYTES {
         let error = DeclarationError::TooLarge;
-        return Err(DeclarationFault { place: TextPlace::START, error });
+        return Err(LocatedDeclarationError { position: TextPosition::START, error });
     }
     let body = parse_body(text)?;
-    match body.check() {
+    match body.check_bounds() {
         Ok(()) => Ok(body),
-        Err(error) => Err(DeclarationFault { place: locate_error(text, &error), error }),
+        Err(error) => Err(LocatedDeclarationError { position: locate_error(text, &error), error }),
     }
 }
 
@@ -250,16 +250,16 @@
 ///
 /// serde deserializes a tagged enum through a buffer that loses positions, so its errors would name
 /// no line.
-fn parse_body(text: &str) -> Result<SettingBody, DeclarationFault> {
-    let syntax_fault = |err: toml::de::Error| DeclarationFault {
-        place: TextPlace::of_error(text, &err),
-        error: DeclarationError::Syntax(TextPlace::describe_error(text, &err)),
+fn parse_body(text: &str) -> Result<SettingBody, LocatedDeclarationError> {
+    let syntax_fault = |err: toml::de::Error| LocatedDeclarationError {
+        position: TextPosition::of_error(text, &err),
+        error: DeclarationError::Syntax(TextPosition::describe_error(text, &err)),
     };
     let mut table = DeTable::parse(text).map_err(syntax_fault)?;
     let kind = table.get_mut().remove("kind");
-    let Some((kind, place)) = kind.as_ref().and_then(|kind| read_kind(text, kind)) else {
-        let place = TextPlace::of_key(text, "kind").unwrap_or(TextPlace::START);
-        return Err(DeclarationFault { place, error: DeclarationError::NoKind });
+    let Some((kind, position)) = kind.as_ref().and_then(|kind| read_kind(text, kind)) else {
+        let position = TextPosition::of_key(text, "kind").unwrap_or(TextPosition::START);
+        return Err(LocatedDeclarationError { position, error: DeclarationError::NoKind });
     };
     let fields = Deserializer::from(table);
     match kind {
@@ -269,25 +269,25 @@
         "limits" => LimitSetting::deserialize(fields).map(SettingBody::Limits),
         kind => {
             let error = DeclarationError::UnknownKind(kind.to_owned());
-            return Err(DeclarationFault { place, error });
+            return Err(LocatedDeclarationError { position, error });
         }
     }
     .map_err(syntax_fault)
 }
 
 /// Returns the kind and its position, `None` where it is not a string.
-fn read_kind<'a>(text: &str, kind: &'a Spanned<DeValue<'_>>) -> Option<(&'a str, TextPlace)> {
-    let place = TextPlace::of_offset(text, kind.span().start);
-    kind.get_ref().as_str().map(|kind| (kind, place))
+fn read_kind<'a>(text: &str, kind: &'a Spanned<DeValue<'_>>) -> Option<(&'a str, TextPosition)> {
+    let position = TextPosition::of_offset(text, kind.span().start);
+    kind.get_ref().as_str().map(|kind| (kind, position))
 }
 
 /// Returns the position of the field at fault, or the start of the text.
-fn locate_error(text: &str, error: &DeclarationError) -> TextPlace {
-    let place = match error {
-        DeclarationError::Bound { field, .. } => TextPlace::of_key(text, field),
+fn locate_error(text: &str, error: &DeclarationError) -> TextPosition {
+    let position = match error {
+        DeclarationError::Bound { field, .. } => TextPosition::of_key(text, field),
         _ => None,
     };
-    place.unwrap_or(TextPlace::START)
+    position.unwrap_or(TextPosition::START)
 }
 
 impl LimitSetting {
@@ -306,7 +306,7 @@
     /// # Errors
     ///
     /// Returns [`DeclarationError::Bound`] for the first field out of bounds.
-    pub fn check(&self) -> Result<(), DeclarationError> {
+    pub fn check_bounds(&self) -> Result<(), DeclarationError> {
         let out_of_bounds = |field, found: &dyn ToString, allowed| {
             Err(DeclarationError::Bound { field, found: found.to_string(), allowed })
         };
--- a/components/model/src/hash.rs
+++ b/components/model/src/hash.rs
@@ -21,7 +21,7 @@
 
 /// Returns whether a text is a digest as [`content_hash`] writes it: 64 hexadecimal digits in lower
 /// case. A digest in upper case would never compare equal.
-pub fn is_hash(hash: &str) -> bool {
+pub fn is_content_hash(hash: &str) -> bool {
     hash.len() == 64 && hash.bytes().all(|byte| matches!(byte, b'0'..=b'9' | b'a'..=b'f'))
 }
 
--- a/components/model/src/lib.rs
+++ b/components/model/src/lib.rs
@@ -9,25 +9,25 @@
 mod declaration;
 mod hash;
 mod path;
-mod place;
 mod snapshot;
+mod text_position;
 mod validate;
 
 pub use ack::{ProxyAck, RejectedVersion};
-pub use change::{ChangeRecord, ChangeRequest, SettingWrites, make_writes};
-pub use clock::{unix_now, unix_time};
+pub use change::{ChangeRecord, ChangeRequest, SettingWrites, diff_settings};
+pub use clock::{unix_time, unix_time_ms};
 pub use declaration::{
-    DeclarationError, DeclarationFault, LimitSetting, MAX_DECLARATION_BYTES, RouteKind,
+    DeclarationError, LimitSetting, LocatedDeclarationError, MAX_DECLARATION_BYTES, RouteHandling,
     RouteSetting, ServiceSetting, SettingBody, SplitPart, ValueSetting, WorkClass,
     parse_declaration,
 };
-pub use hash::{content_hash, hash_json, is_hash};
+pub use hash::{content_hash, hash_json, is_content_hash};
 pub use path::{
     MAX_PATH_BYTES, MAX_TEAM_BYTES, PathError, SettingPath, TeamName, check_path, check_team,
     team_of,
 };
-pub use place::TextPlace;
 pub use snapshot::{ConfigSnapshot, SnapshotRoot, TeamTree, TreeRef};
+pub use text_position::TextPosition;
 pub use validate::{ConfigFault, validate_trees};
 
 /// Number of an accepted configuration. Zero means that there is no configuration yet.
--- a/components/model/src/path.rs
+++ b/components/model/src/path.rs
@@ -27,7 +27,7 @@
     TooLong(usize),
     /// A segment is empty or has a character outside `a-z 0-9 - _ .`.
     #[error("path `{path}` has the bad segment `{segment}`; allowed: a-z 0-9 - _ .")]
-    BadSegment {
+    InvalidSegment {
         /// The whole path.
         path: SettingPath,
         /// The invalid segment.
@@ -48,7 +48,10 @@
         return Err(PathError::NotAbsolute(path.to_owned()));
     };
     if let Some(segment) = rest.split('/').find(|segment| !is_segment(segment)) {
-        return Err(PathError::BadSegment { path: path.to_owned(), segment: segment.to_owned() });
+        return Err(PathError::InvalidSegment {
+            path: path.to_owned(),
+            segment: segment.to_owned(),
+        });
     }
     if rest.split('/').count() < 2 {
         return Err(PathError::TooShort(path.to_owned()));
@@ -65,7 +68,7 @@
     match team {
         team if team.len() > MAX_TEAM_BYTES => Err(PathError::TooLong(team.len())),
         team if !is_segment(team) => {
-            Err(PathError::BadSegment { path: team.to_owned(), segment: team.to_owned() })
+            Err(PathError::InvalidSegment { path: team.to_owned(), segment: team.to_owned() })
         }
         _ => Ok(()),
     }
--- a/components/model/src/place.rs
+++ b/components/model/src/text_position.rs
@@ -9,14 +9,14 @@
 /// A position in a text: line and column, both counted from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Display)]
 #[display("{line}:{column}")]
-pub struct TextPlace {
+pub struct TextPosition {
     /// Line, from 1.
     pub line: usize,
     /// Column in characters, from 1.
     pub column: usize,
 }
 
-impl TextPlace {
+impl TextPosition {
     /// The start of any text.
     pub const START: Self = Self { line: 1, column: 1 };
 
@@ -37,10 +37,10 @@
     ///
     /// The parser's own rendering quotes the whole line, which may hold a secret.
     pub fn describe_error(text: &str, err: &toml::de::Error) -> String {
-        let place = Self::of_error(text, err);
-        let line = text.lines().nth(place.line - 1).unwrap_or_default();
+        let position = Self::of_error(text, err);
+        let line = text.lines().nth(position.line - 1).unwrap_or_default();
         match line.split_once('=') {
-            Some((key, _)) if key.chars().count() < place.column => {
+            Some((key, _)) if key.chars().count() < position.column => {
                 format!("`{}`: {}", key.trim(), err.message())
             }
             _ => err.message().to_owned(),
--- a/components/model/src/validate.rs
+++ b/components/model/src/validate.rs
@@ -46,7 +46,8 @@
     },
     /// A field of a setting is out of bounds.
     #[error("setting {path}: {reason}")]
-    BadBody {
+    #[serde(rename = "bad-body")]
+    InvalidBody {
         /// Path of the setting.
         path: SettingPath,
         /// What is wrong and what is allowed.
@@ -81,8 +82,8 @@
     if check_path(path).is_err() || team_of(path) != team {
         faults.push(ConfigFault::ForeignPath { path: path.clone(), team: team.clone() });
     }
-    if let Err(err) = body.check() {
-        faults.push(ConfigFault::BadBody { path: path.clone(), reason: err.to_string() });
+    if let Err(err) = body.check_bounds() {
+        faults.push(ConfigFault::InvalidBody { path: path.clone(), reason: err.to_string() });
     }
 }
 
--- a/components/model/tests/declaration_round_trip.rs
+++ b/components/model/tests/declaration_round_trip.rs
@@ -5,8 +5,8 @@
 use expect_test::{Expect, expect};
 use proptest::{collection::btree_map, option, prelude::*};
 use sk_model::{
-    RouteKind, RouteSetting, ServiceSetting, SettingBody, SettingPath, TeamTree, ValueSetting,
-    WorkClass, make_writes, parse_declaration, validate_trees,
+    RouteHandling, RouteSetting, ServiceSetting, SettingBody, SettingPath, TeamTree, ValueSetting,
+    WorkClass, diff_settings, parse_declaration, validate_trees,
 };
 
 type SettingMap = BTreeMap<SettingPath, SettingBody>;
@@ -17,9 +17,9 @@
     let class = prop_oneof![Just(WorkClass::Short), Just(WorkClass::Long)];
     let host = option::of("[a-z.]{1,12}");
     let handling = option::of(prop_oneof![
-        Just(RouteKind::Safe),
-        Just(RouteKind::Unsafe),
-        Just(RouteKind::Download)
+        Just(RouteHandling::Safe),
+        Just(RouteHandling::Unsafe),
+        Just(RouteHandling::Download)
     ]);
     let work = (class, handling, option::of(1..=60_000u64), option::of(1..=16u8), any::<u8>());
     (host, "/[a-z/]{0,8}", 0..SERVICES.len(), any::<bool>(), work, 1..=120_000u64).prop_map(
@@ -80,20 +80,20 @@
     #[test]
     fn faults_lie_within_text(text in "(kind = \"(service|route|value|x)\"\n)?(prefix|host|text|\\PC{0,9}) ?= ?(\"\\PC{0,9}\"|[0-9]{1,20}|\\[|\\{|\n){0,4}") {
         if let Err(fault) = parse_declaration(&text) {
-            prop_assert!(fault.place.line <= text.matches('\n').count() + 1, "{}", fault);
+            prop_assert!(fault.position.line <= text.matches('\n').count() + 1, "{}", fault);
         }
     }
 
     #[test]
     fn writes_reach_declared(accepted in any_settings(), declared in any_settings()) {
-        let writes = make_writes(&accepted, &declared);
+        let writes = diff_settings(&accepted, &declared);
         let reached = TeamTree { settings: accepted.clone() }.with_writes(&writes);
         prop_assert_eq!(&reached.settings, &declared);
         // No setting is written that is equal already, and none is withdrawn that does not exist.
         for (path, body) in &writes {
             prop_assert_ne!(accepted.get(path), body.as_ref());
         }
-        prop_assert!(make_writes(&reached.settings, &declared).is_empty());
+        prop_assert!(diff_settings(&reached.settings, &declared).is_empty());
         // Only clashing routes are possible faults: all paths, services and bounds are valid.
         let faults = validate_trees(&BTreeMap::from([("t".to_owned(), Arc::new(reached))]));
         let is_clash = |fault: &sk_model::ConfigFault| {
--- a/components/ops/src/server.rs
+++ b/components/ops/src/server.rs
@@ -11,7 +11,7 @@
 use schemars::JsonSchema;
 use serde::Deserialize;
 use sk_ledger::{MAX_CHANGE_ID_BYTES, MalformedChange};
-use sk_model::{ChangeRecord, ChangeRequest, Version, check_team, is_hash};
+use sk_model::{ChangeRecord, ChangeRequest, Version, check_team, is_content_hash};
 use sk_report::{ChangeReport, FleetReport};
 
 use crate::{
@@ -244,7 +244,7 @@
     let team = path.into_inner().team;
     require_team_name(&team)?;
     let record = body.into_inner();
-    if !is_hash(&record.token_sha256) {
+    if !is_content_hash(&record.token_sha256) {
         let reason = "`token_sha256`; allowed: 64 hexadecimal digits in lower case".to_owned();
         return Err(OpsError::Malformed { reason });
     }
--- a/components/ops/tests/token_rules.rs
+++ b/components/ops/tests/token_rules.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::Ordering;
 
 use common::{MANAGER, TEAM, TOKENLESS_TEAM, TestServer};
-use sk_model::is_hash;
+use sk_model::is_content_hash;
 use sk_ops::{hash_token, is_token};
 
 fn change(team: &str) -> Vec<u8> {
@@ -23,13 +23,17 @@
 #[test]
 fn token_matches_hash() {
     let hash = hash_token(TEAM);
-    assert!(is_token(TEAM, &hash) && is_hash(&hash));
+    assert!(is_token(TEAM, &hash) && is_content_hash(&hash));
     for (token, hash) in
         [("", ""), (TEAM, ""), ("", hash.as_str()), (TEAM, &hash[..63]), (&hash, &hash)]
     {
         assert!(!is_token(token, hash), "{token} {hash}");
     }
-    assert!(!is_hash(&hash.to_uppercase()) && !is_hash("") && !is_hash(&hash[1..]));
+    assert!(
+        !is_content_hash(&hash.to_uppercase())
+            && !is_content_hash("")
+            && !is_content_hash(&hash[1..])
+    );
 }
 
 #[test]
--- a/components/proxy/src/entry.rs
+++ b/components/proxy/src/entry.rs
@@ -6,7 +6,7 @@
 use http::{Method, Request, StatusCode, Version, header, request::Parts};
 use hyper::body::Incoming;
 use sk_decide::{WorkKey, deadline::CallContext};
-use sk_model::{RouteKind, RouteSetting};
+use sk_model::{RouteHandling, RouteSetting};
 use tokio::time::Instant;
 
 use crate::{
@@ -195,8 +195,8 @@
 /// decide, and a caller that sends a key requires that its request runs once.
 fn is_repeatable(method: &Method, route: &RouteSetting, has_key: bool) -> bool {
     match route.handling {
-        Some(RouteKind::Safe | RouteKind::Download) => true,
-        Some(RouteKind::Unsafe | RouteKind::Upload) => false,
+        Some(RouteHandling::Safe | RouteHandling::Download) => true,
+        Some(RouteHandling::Unsafe | RouteHandling::Upload) => false,
         None => is_safe(method) || (route.repeatable && !has_key),
     }
 }
--- a/components/report/tests/true_reports.rs
+++ b/components/report/tests/true_reports.rs
@@ -114,9 +114,9 @@
     let store: SharedStore = fake.clone();
     let book = ReportBook::new(PREFIX);
     book.note(vec![ack("a", 1, 2)]);
-    fake.set_down(true);
+    fake.set_outage(true);
     assert!(book.flush(&store).await.is_err());
-    fake.set_down(false);
+    fake.set_outage(false);
     book.flush(&store).await.expect("platform is up");
     let acks = read_acks(&store, PREFIX).await.expect("platform is up");
     assert_eq!(acks["a"].version, 2);
@@ -138,7 +138,7 @@
             let fake = Arc::new(FakeStore::new());
             let store: SharedStore = fake.clone();
             let books = [ReportBook::new(PREFIX), ReportBook::new(PREFIX)];
-            (0..lost).for_each(|_| fake.plan_write(WriteFault::LoseAnswer));
+            (0..lost).for_each(|_| fake.plan_write_fault(WriteFault::LoseAnswer));
             for (ack, side) in acks.iter().zip(&split).rev() {
                 if *side != 1 { books[0].note(vec![ack.clone()]); }
                 if *side != 0 { books[1].note(vec![ack.clone()]); }
--- a/components/settings/src/check.rs
+++ b/components/settings/src/check.rs
@@ -5,7 +5,7 @@
 
 use std::{net::SocketAddr, ops::RangeInclusive, path::Path};
 
-use sk_model::{TextPlace, is_hash};
+use sk_model::{TextPosition, is_content_hash};
 
 use crate::{DaemonSettings, ListenSettings, SettingsError};
 
@@ -59,7 +59,7 @@
     checker.require(
         "operators.manager_sha256",
         "malformed",
-        hash.is_empty() || is_hash(hash),
+        hash.is_empty() || is_content_hash(hash),
         "64 hexadecimal digits in lower case, or empty",
     )
 }
@@ -192,14 +192,14 @@
             return Ok(());
         }
         let (file, found) = (self.file.to_owned(), found.to_owned());
-        let place = self.locate_first_key(&[key]);
-        Err(SettingsError::Bound { file, place, key, found, allowed })
+        let position = self.locate_first_key(&[key]);
+        Err(SettingsError::Bound { file, position, key, found, allowed })
     }
 
     /// Returns the position of the first of the keys that the file sets, or the start of the file.
-    fn locate_first_key(&self, keys: &[&str]) -> TextPlace {
-        let found = keys.iter().find_map(|key| TextPlace::of_key(self.text, key));
-        found.unwrap_or(TextPlace::START)
+    fn locate_first_key(&self, keys: &[&str]) -> TextPosition {
+        let found = keys.iter().find_map(|key| TextPosition::of_key(self.text, key));
+        found.unwrap_or(TextPosition::START)
     }
 
     fn require_range(
@@ -237,8 +237,8 @@
             let clash = listeners[index + 1..].iter().find(|(_, other)| is_clash(*address, *other));
             if let Some((second, _)) = clash {
                 let (file, address) = (self.file.to_owned(), address.to_string());
-                let place = self.locate_first_key(&[*first, *second]);
-                return Err(SettingsError::Clash { file, place, first, second, address });
+                let position = self.locate_first_key(&[*first, *second]);
+                return Err(SettingsError::Clash { file, position, first, second, address });
             }
         }
         Ok(())
--- a/components/settings/src/daemon_settings.rs
+++ b/components/settings/src/daemon_settings.rs
@@ -128,13 +128,13 @@
     pub key_prefix: String,
     /// Which platform's calls, configuration and headers are used. Default own.
     #[serde(default)]
-    pub form: PlatformForm,
+    pub form: PlatformKind,
 }
 
 /// Which platform's calls, configuration and headers a daemon uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum PlatformForm {
+pub enum PlatformKind {
     /// Sapphirekeel's own: teams change the configuration through the daemons.
     #[default]
     Own,
--- a/components/settings/src/error.rs
+++ b/components/settings/src/error.rs
@@ -4,7 +4,7 @@
 
 use std::path::PathBuf;
 
-use sk_model::TextPlace;
+use sk_model::TextPosition;
 use thiserror::Error;
 
 use crate::MAX_SETTINGS_BYTES;
@@ -27,22 +27,22 @@
         file: PathBuf,
     },
     /// The text is not TOML, has an unknown key or a value of the wrong type.
-    #[error("{}:{place}: {reason}", file.display())]
+    #[error("{}:{position}: {reason}", file.display())]
     Syntax {
         /// The file.
         file: PathBuf,
         /// Line and column of the error.
-        place: TextPlace,
+        position: TextPosition,
         /// The key and what is expected there.
         reason: String,
     },
     /// A value is outside its bounds.
-    #[error("{}:{place}: `{key}` is {found}; allowed: {allowed}", file.display())]
+    #[error("{}:{position}: `{key}` is {found}; allowed: {allowed}", file.display())]
     Bound {
         /// The file.
         file: PathBuf,
         /// Line and column of the key; the start of the file where a default is out of bounds.
-        place: TextPlace,
+        position: TextPosition,
         /// Dotted key.
         key: &'static str,
         /// The value found.
@@ -52,14 +52,14 @@
     },
     /// Two listeners have the same address.
     #[error(
-        "{}:{place}: `{first}` and `{second}` are both {address}; allowed: distinct addresses",
+        "{}:{position}: `{first}` and `{second}` are both {address}; allowed: distinct addresses",
         file.display()
     )]
     Clash {
         /// The file.
         file: PathBuf,
         /// Line and column of the first of the two that the file sets.
-        place: TextPlace,
+        position: TextPosition,
         /// The first dotted key.
         first: &'static str,
         /// The second dotted key.
--- a/components/settings/src/experiment.rs
+++ b/components/settings/src/experiment.rs
@@ -32,9 +32,12 @@
     /// Excluding endpoints that fail or are slow.
     Outliers,
     /// Retrying a request after a server's failure.
-    FailedAgain,
+    #[serde(rename = "failed-again")]
+    FailureRetries,
     /// Limiting long work by the capacity of the link.
-    LinkRoom,
+    #[serde(rename = "link-room")]
+    LinkLimit,
     /// Replacing the least urgent request of a full queue, which goes back to its sender.
-    MadeRoom,
+    #[serde(rename = "made-room")]
+    Eviction,
 }
--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -11,16 +11,16 @@
 
 pub use daemon_settings::{
     DaemonSettings, GuardSettings, InstanceSettings, ListenSettings, LogSettings, MemberSettings,
-    MetricSettings, OperatorSettings, PeerSettings, PlacingOrder, PlacingSettings, PlatformForm,
+    MetricSettings, OperatorSettings, PeerSettings, PlacingOrder, PlacingSettings, PlatformKind,
     PlatformSettings, ReportSettings, SpreadMode, SpreadSettings,
 };
 pub use error::SettingsError;
 pub use experiment::{ExperimentSettings, Mechanism};
-pub use loopback::{LoopbackPlan, loopback_text};
+pub use loopback::{LoopbackSettings, render_loopback_settings};
 
 use std::{fs::File, io::Read, path::Path};
 
-use sk_model::TextPlace;
+use sk_model::TextPosition;
 
 /// Largest settings file, in bytes. The thousand seeds of a large fleet fit, and a wrong file that
 /// is named by mistake does not fill the memory.
@@ -53,8 +53,8 @@
 pub fn parse_settings(file: &Path, text: &str) -> Result<DaemonSettings, SettingsError> {
     let settings: DaemonSettings = toml::from_str(text).map_err(|err| SettingsError::Syntax {
         file: file.to_owned(),
-        place: TextPlace::of_error(text, &err),
-        reason: redact_secret(TextPlace::describe_error(text, &err)),
+        position: TextPosition::of_error(text, &err),
+        reason: redact_secret(TextPosition::describe_error(text, &err)),
     })?;
     check::check_settings(file, text, &settings)?;
     Ok(settings)
--- a/components/settings/src/loopback.rs
+++ b/components/settings/src/loopback.rs
@@ -2,7 +2,7 @@
 
 /// Settings of one daemon on loopback addresses with free ports.
 #[derive(Clone, Debug)]
-pub struct LoopbackPlan<'a> {
+pub struct LoopbackSettings<'a> {
     /// Name of the daemon.
     pub name: &'a str,
     /// Its data centre.
@@ -23,8 +23,8 @@
 }
 
 /// Returns the settings as the TOML text that a daemon reads.
-pub fn loopback_text(plan: &LoopbackPlan<'_>) -> String {
-    let seeds: Vec<String> = plan.seeds.iter().map(|seed| format!("\"{seed}\"")).collect();
+pub fn render_loopback_settings(settings: &LoopbackSettings<'_>) -> String {
+    let seeds: Vec<String> = settings.seeds.iter().map(|seed| format!("\"{seed}\"")).collect();
     format!(
         r#"
 [instance]
@@ -50,13 +50,13 @@
 
 {}
 "#,
-        plan.name,
-        plan.data_centre,
-        plan.region,
-        plan.platform,
+        settings.name,
+        settings.data_centre,
+        settings.region,
+        settings.platform,
         seeds.join(", "),
-        plan.secret,
-        plan.manager_sha256,
-        plan.extra,
+        settings.secret,
+        settings.manager_sha256,
+        settings.extra,
     )
 }
--- a/components/spread/src/node.rs
+++ b/components/spread/src/node.rs
@@ -10,7 +10,7 @@
 
 use sk_logs::OutageLog;
 use sk_member::{FreshnessBook, FreshnessProof, MemberBoard, MemberRecord, MemberView};
-use sk_model::{ConfigSnapshot, ProxyId, Version, unix_now};
+use sk_model::{ConfigSnapshot, ProxyId, Version, unix_time_ms};
 use tokio::{
     sync::{Semaphore, mpsc, oneshot, watch},
     time::Instant,
@@ -97,7 +97,7 @@
     ) -> OfferOutcome {
         let version = snapshot.version();
         let base = self.config.newest();
-        let outcome = self.config.offer(snapshot, source, unix_now());
+        let outcome = self.config.offer(snapshot, source, unix_time_ms());
         match &outcome {
             OfferOutcome::Applied => {
                 log::info!("spread: version {version} from {source}.");
@@ -174,7 +174,7 @@
         if !self.config.is_ready() {
             let version = self.config.newest().version();
             log::info!("spread: ready with version {version}, confirmed by {confirmed_by}.");
-            self.config.set_ready(unix_now());
+            self.config.set_ready(unix_time_ms());
         }
     }
 }
--- a/components/spread/src/watch.rs
+++ b/components/spread/src/watch.rs
@@ -88,7 +88,7 @@
         match node.source.wait_newer(&after, node.options.max_watch_wait()).await {
             Ok(result) => self.handle_result(node, result),
             Err(err) => {
-                node.source_outage.lost(&err);
+                node.source_outage.record_failure(&err);
                 node.stats.set_source_fault(Some(err.reason));
                 tokio::time::sleep(self.pause.next()).await;
             }
@@ -97,7 +97,7 @@
 
     /// Handles a successful wait: offers a newer version and records the freshness proof.
     fn handle_result(&mut self, node: &SpreadNode, result: SourceNews) {
-        node.source_outage.back();
+        node.source_outage.record_success();
         node.stats.set_source_fault(None);
         self.pause.reset();
         if let Some(snapshot) = result.newer {
@@ -139,7 +139,7 @@
     fn end_turn(&mut self, node: &SpreadNode) {
         if std::mem::take(&mut self.is_watching) {
             self.has_reported = false;
-            node.source_outage.dismiss();
+            node.source_outage.end_without_line();
             node.stats.set_source_fault(None);
             log::info!(
                 "spread: stopped watching the configuration source; other daemons watch it."
@@ -185,13 +185,13 @@
     };
     let outcome = match node.source.load(&node.config.newest()).await {
         Err(err) => {
-            node.source_outage.lost(&err);
+            node.source_outage.record_failure(&err);
             node.stats.set_source_fault(Some(err.reason));
             return ConfirmOutcome::Unreachable;
         }
         Ok(snapshot) => node.offer(snapshot, PLATFORM, origin),
     };
-    node.source_outage.back();
+    node.source_outage.record_success();
     node.stats.set_source_fault(None);
     node.note_source_read(started_at);
     match outcome {
--- a/components/store/src/api.rs
+++ b/components/store/src/api.rs
@@ -62,8 +62,8 @@
     async fn list(&self, prefix: &str) -> Result<Vec<StoredObject>, StoreError>;
 
     /// Waits until the object's revision is greater than `after` and reads it, or returns `None`
-    /// when `timeout` elapses first. Notifications may be late, and the object returned may be newer
-    /// than the write that follows `after`.
+    /// when `timeout` elapses first. Notifications may be late, and the object returned may be
+    /// newer than the write that follows `after`.
     async fn watch(
         &self,
         key: &str,
--- a/components/store/src/fake.rs
+++ b/components/store/src/fake.rs
@@ -11,7 +11,7 @@
 
 use crate::{MAX_VALUE_BYTES, ObjectKey, ObjectStore, Revision, StoreError, StoredObject};
 
-/// What happens to one write; planned in order by [`FakeStore::plan_write`].
+/// What happens to one write; planned in order by [`FakeStore::plan_write_fault`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteFault {
     /// The write succeeds.
@@ -50,12 +50,12 @@
     }
 
     /// Starts or ends an outage, during which every call fails without effect.
-    pub fn set_down(&self, is_down: bool) {
+    pub fn set_outage(&self, is_down: bool) {
         self.lock_state().is_down = is_down;
     }
 
     /// Plans the fault of one more write; writes beyond those planned succeed.
-    pub fn plan_write(&self, fault: WriteFault) {
+    pub fn plan_write_fault(&self, fault: WriteFault) {
         self.lock_state().write_faults.push_back(fault);
     }
 
--- a/components/store/src/fault.rs
+++ b/components/store/src/fault.rs
@@ -17,13 +17,13 @@
 
 use crate::{FakeStore, ObjectStore, Revision, StoreError, StoredObject};
 
-/// What happens to one call of a [`FaultStore`]; planned in order by [`FaultStore::plan`].
+/// What happens to one call of a [`FaultStore`]; planned in order by [`FaultStore::plan_faults`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFault {
     /// The call succeeds.
     None,
     /// The call is refused without effect.
-    Down,
+    Refuse,
     /// This call and all later ones are refused without effect, until the next plan.
     Outage,
     /// The caller is suspended before the call until [`FaultStore::resume`] is called.
@@ -32,10 +32,10 @@
     LoseAnswer,
     /// The write never takes effect; to its caller this looks like a lost answer.
     LoseRequest,
-    /// The answer is lost at once; the write takes effect at [`FaultStore::arrive`].
-    Delay,
+    /// The answer is lost at once; the write takes effect at [`FaultStore::deliver_delayed`].
+    DelayUntilDelivered,
     /// The answer is lost at once; the write takes effect after this many milliseconds.
-    LateBy(u64),
+    DelayByMs(u64),
 }
 
 /// One client of a shared in-memory platform, which counts calls and injects faults.
@@ -51,7 +51,8 @@
     is_interleaved: bool,
     /// Faults of the next calls, in order.
     faults: Mutex<VecDeque<CallFault>>,
-    /// Key, expected revision and value of the writes that wait for [`FaultStore::arrive`].
+    /// Key, expected revision and value of the writes that wait for
+    /// [`FaultStore::deliver_delayed`].
     delayed: Mutex<Vec<(String, Option<Revision>, String)>>,
     is_paused: AtomicBool,
     resumed: Notify,
@@ -60,27 +61,27 @@
 impl FaultStore {
     /// Creates a client of a platform.
     pub fn new(inner: &Arc<FakeStore>) -> Arc<Self> {
-        Self::slow(inner, Duration::ZERO)
+        Self::with_latency(inner, Duration::ZERO)
     }
 
     /// Creates a client on which each read and write takes `latency`.
-    pub fn slow(inner: &Arc<FakeStore>, latency: Duration) -> Arc<Self> {
+    pub fn with_latency(inner: &Arc<FakeStore>, latency: Duration) -> Arc<Self> {
         Arc::new(Self { inner: Arc::clone(inner), latency, ..Self::default() })
     }
 
     /// Creates a client of a new platform on which calls yield, so that concurrent callers
     /// interleave. Faults apply to writes only.
-    pub fn interleaved() -> Arc<Self> {
+    pub fn new_interleaved() -> Arc<Self> {
         Arc::new(Self { is_interleaved: true, ..Self::default() })
     }
 
     /// Sets the faults of the next calls and replaces earlier plans.
-    pub fn plan(&self, faults: &[CallFault]) {
+    pub fn plan_faults(&self, faults: &[CallFault]) {
         *self.lock_faults() = faults.iter().copied().collect();
     }
 
     /// Puts faults before those already planned; the last of them happens first.
-    pub fn plan_more(&self, faults: &[CallFault]) {
+    pub fn plan_faults_before(&self, faults: &[CallFault]) {
         let mut planned = self.lock_faults();
         faults.iter().for_each(|fault| planned.push_front(*fault));
     }
@@ -93,7 +94,7 @@
     }
 
     /// Delivers all delayed writes to the platform, under the conditions they were sent with.
-    pub async fn arrive(&self) {
+    pub async fn deliver_delayed(&self) {
         let delayed =
             std::mem::take(&mut *self.delayed.lock().unwrap_or_else(PoisonError::into_inner));
         for (key, expected, value) in delayed {
@@ -107,14 +108,18 @@
     /// # Errors
     ///
     /// Returns the planned fault or the platform's error.
-    pub async fn put_blindly(&self, key: &str, value: String) -> Result<Revision, StoreError> {
+    pub async fn put_unconditionally(
+        &self,
+        key: &str,
+        value: String,
+    ) -> Result<Revision, StoreError> {
         self.next_fault().await?;
         let found = self.inner.get(key).await?;
         self.forward_write(key, found.map(|object| object.revision), value).await
     }
 
     /// Waits until a task that uses this store ends or is suspended. Returns whether it ended.
-    pub async fn settle<T>(&self, task: &JoinHandle<T>) -> bool {
+    pub async fn wait_ended_or_paused<T>(&self, task: &JoinHandle<T>) -> bool {
         while !task.is_finished() && !self.is_paused.load(SeqCst) {
             tokio::task::yield_now().await;
         }
@@ -157,7 +162,7 @@
                     self.is_paused.store(true, SeqCst);
                     self.resumed.notified().await;
                 }
-                CallFault::Down | CallFault::Outage => {
+                CallFault::Refuse | CallFault::Outage => {
                     return Err(StoreError::Unavailable { reason: "outage".to_owned() });
                 }
                 fault => return Ok(fault),
@@ -199,7 +204,7 @@
             CallFault::LoseAnswer => {
                 self.forward_write(key, expected, value).await.and(lost_answer)
             }
-            CallFault::LateBy(millis) => {
+            CallFault::DelayByMs(millis) => {
                 let (platform, key) = (self.inner.clone(), key.to_owned());
                 tokio::spawn(async move {
                     tokio::time::sleep(Duration::from_millis(millis)).await;
@@ -207,7 +212,7 @@
                 });
                 lost_answer
             }
-            CallFault::Delay => {
+            CallFault::DelayUntilDelivered => {
                 let mut delayed = self.delayed.lock().unwrap_or_else(PoisonError::into_inner);
                 delayed.push((key.to_owned(), expected, value));
                 lost_answer
--- a/src/cmd/apply.rs
+++ b/src/cmd/apply.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use sk_ledger::MAX_WRITES;
-use sk_model::{ChangeRecord, ChangeRequest, make_writes};
+use sk_model::{ChangeRecord, ChangeRequest, diff_settings};
 
 use super::{
     CmdOutcome, plan::read_accepted, print_call_error, print_json, print_refusal, submit::submit,
@@ -59,7 +59,7 @@
     let declared = read_team(&args.directory, args.team.as_deref());
     let (team, declared) = declared.map_err(|err| print_refusal(&err))?;
     let accepted = read_accepted(client, &team).await.map_err(|err| print_call_error(&err))?;
-    let writes = make_writes(&accepted.settings, &declared);
+    let writes = diff_settings(&accepted.settings, &declared);
     if writes.len() > MAX_WRITES {
         eprintln!(
             "refused: {} writes are more than the {MAX_WRITES} of one change; apply in parts",
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -14,11 +14,11 @@
 use hyper_util::{client::legacy::Client, rt::TokioExecutor};
 use sk_daemon::{DaemonHandle, start_daemon};
 use sk_model::{
-    ChangeRecord, ChangeRequest, SettingBody, SettingPath, make_writes, parse_declaration,
+    ChangeRecord, ChangeRequest, SettingBody, SettingPath, diff_settings, parse_declaration,
 };
 use sk_ops::{StateDump, TeamRecord, hash_token};
 use sk_report::FleetReport;
-use sk_settings::{LoopbackPlan, loopback_text, parse_settings};
+use sk_settings::{LoopbackSettings, parse_settings, render_loopback_settings};
 use sk_standin::{
     BackendHandle, BackendOptions, PlatformHandle, PlatformOptions, start_backend, start_platform,
 };
@@ -96,7 +96,7 @@
     let (mut daemons, mut backends) = (Vec::new(), Vec::new());
     let mut seeds = Vec::new();
     for (name, data_centre, service) in DAEMONS {
-        let text = loopback_text(&LoopbackPlan {
+        let text = render_loopback_settings(&LoopbackSettings {
             name,
             data_centre,
             region: "slovenia",
@@ -174,7 +174,7 @@
     declared: &BTreeMap<SettingPath, SettingBody>,
     base: u64,
 ) -> anyhow::Result<ChangeRecord> {
-    let writes = make_writes(accepted, declared);
+    let writes = diff_settings(accepted, declared);
     print!("\n{}", render_writes(accepted, base, &writes));
     let request = ChangeRequest {
         change_id: format!("demo-{}", base + 1),
--- a/src/cmd/plan.rs
+++ b/src/cmd/plan.rs
@@ -1,7 +1,7 @@
 //! Shows what `apply` would change, without a change.
 
 use serde::Serialize;
-use sk_model::{SettingWrites, TeamName, Version, make_writes};
+use sk_model::{SettingWrites, TeamName, Version, diff_settings};
 use sk_ops::{HeldView, TeamView};
 
 use super::{CmdOutcome, print_call_error, print_json, print_refusal};
@@ -30,7 +30,7 @@
         Ok(accepted) => accepted,
         Err(err) => return Ok(print_call_error(&err)),
     };
-    let writes = make_writes(&accepted.settings, &declared);
+    let writes = diff_settings(&accepted.settings, &declared);
     match is_json {
         true => print_json(&ChangePlan { team: &team, base: accepted.version, writes: &writes })?,
         false => print_plan(&accepted, &writes),
--- a/src/declared.rs
+++ b/src/declared.rs
@@ -10,8 +10,8 @@
 };
 
 use sk_model::{
-    DeclarationFault, MAX_DECLARATION_BYTES, MAX_PATH_BYTES, PathError, SettingBody, SettingPath,
-    TeamName, check_path, check_team, parse_declaration,
+    LocatedDeclarationError, MAX_DECLARATION_BYTES, MAX_PATH_BYTES, PathError, SettingBody,
+    SettingPath, TeamName, check_path, check_team, parse_declaration,
 };
 use thiserror::Error;
 
@@ -72,7 +72,7 @@
         /// The setting path that the file would declare.
         path: SettingPath,
         /// The fault with its line and column.
-        fault: DeclarationFault,
+        fault: LocatedDeclarationError,
     },
     /// There are more than [`MAX_ENTRIES`] entries.
     #[error("{}: more than {MAX_ENTRIES} entries", directory.display())]
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -15,7 +15,7 @@
     time::{Duration, Instant},
 };
 
-use sk_settings::{LoopbackPlan, loopback_text};
+use sk_settings::{LoopbackSettings, render_loopback_settings};
 
 /// Longest wait for one condition. An idle machine needs a small part of it.
 pub const WAIT_BOUND: Duration = Duration::from_secs(60);
@@ -163,7 +163,7 @@
 
 /// Starts a daemon with further settings in its `listen` table.
 pub fn start_daemon_with(directory: &Path, plan: &DaemonPlan<'_>, listen: &str) -> TestProcess {
-    let text = loopback_text(&LoopbackPlan {
+    let text = render_loopback_settings(&LoopbackSettings {
         name: plan.name,
         data_centre: plan.data_centre,
         region: "slovenia",
--- a/tests/fleet_model.rs
+++ b/tests/fleet_model.rs
@@ -177,11 +177,11 @@
             Step::Submit { team, is_stale, service, route } => {
                 self.submit(team, is_stale, service, route).await;
             }
-            Step::Fault(is_answer) => self.fake_store.plan_write(match is_answer {
+            Step::Fault(is_answer) => self.fake_store.plan_write_fault(match is_answer {
                 true => WriteFault::LoseAnswer,
                 false => WriteFault::LoseRequest,
             }),
-            Step::Outage(is_down) => self.fake_store.set_down(is_down),
+            Step::Outage(is_down) => self.fake_store.set_outage(is_down),
             Step::Load(proxy) => self.load(proxy).await,
             Step::Send { from, to } => {
                 let (base, newest) =
@@ -333,7 +333,7 @@
 
     /// Ends all faults and checks that every accepted change is in force and in the history.
     async fn recover(&mut self) {
-        self.fake_store.set_down(false);
+        self.fake_store.set_outage(false);
         self.fake_store.clear_faults();
         for request in std::mem::take(&mut self.unknown_submits) {
             match self.ledger.submit(&request, 1).await {
