--- a/components/daemon/src/daemon.rs
+++ b/components/daemon/src/daemon.rs
@@ -16,7 +16,7 @@
 use futures::future::join_all;
 use sk_claim::ClaimBook;
 use sk_ledger::{Ledger, LedgerSettings};
-use sk_member::{HeartbeatBook, MemberBoard, MemberRecord, MemberStatus};
+use sk_member::{HeartbeatFilter, MemberRecord, MemberStatus, SharedMembers};
 use sk_ops::{OpsHandle, SharedPort, start_ops};
 use sk_proxy::{
     FailedCalls, ForwardContext, GuardContext, GuardToken, LocalServers, OwnService, PeerClient,
@@ -98,7 +98,7 @@
     is_leaving: Arc<AtomicBool>,
     own_service: OwnService,
     platform: Arc<PlatformAdapter>,
-    members: Arc<MemberBoard>,
+    members: Arc<SharedMembers>,
     forward: ServeHandle,
     guard: ServeHandle,
     guard_context: Arc<GuardContext>,
@@ -119,12 +119,12 @@
 struct DaemonParts {
     platform: Arc<PlatformAdapter>,
     store: SharedStore,
-    heartbeats: Arc<Mutex<HeartbeatBook>>,
+    heartbeats: Arc<Mutex<HeartbeatFilter>>,
     is_leaving: Arc<AtomicBool>,
     own_service: OwnService,
     ledger: Arc<Ledger>,
     held: Arc<HeldConfig>,
-    members: Arc<MemberBoard>,
+    members: Arc<SharedMembers>,
     servers: Arc<LocalServers>,
     table: SharedTable,
     report_book: Arc<ReportBook>,
@@ -333,7 +333,7 @@
         is_leaving: Arc::default(),
         platform,
         held: Arc::default(),
-        members: Arc::new(MemberBoard::new(own_record(settings, addresses))),
+        members: Arc::new(SharedMembers::new(own_record(settings, addresses))),
         servers: Arc::new(LocalServers::new(server_limits(settings))),
         table: SharedTable::default(),
         report_book: Arc::new(ReportBook::new(&key_prefix)),
--- a/components/daemon/src/dump.rs
+++ b/components/daemon/src/dump.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use sk_decide::{admitting::GuardState, quarantine::QuarantineSettings};
-use sk_member::{EndpointRecord, MemberMarks, MemberRecord};
+use sk_member::{EndpointRecord, MemberRecord, ReachabilityMarks};
 use sk_model::{ProxyId, ServiceName};
 use sk_ops::{ControlView, PeerView, RequestView, ServerView, StateDump};
 use sk_proxy::{ProxyCounters, QuarantineBoard, RouteTable};
@@ -17,7 +17,7 @@
         let own = self.members.own();
         let status = self.held.status();
         let bytes = self.meter.bytes();
-        let view = self.members.view();
+        let members = self.members.snapshot();
         let marks = self.members.marks();
         let servers = self.servers.endpoints();
         let guards = self.servers.guard_states();
@@ -37,15 +37,15 @@
             control: view_control(spread, self.report_book.pending_centres()),
             requests: view_requests(&self.counters, &self.table.load()),
             servers: servers.iter().map(|endpoint| view_server(endpoint, &guards)).collect(),
-            members: view.values().map(|record| view_peer(record, &marks)).collect(),
+            members: members.values().map(|record| view_peer(record, &marks)).collect(),
         }
     }
 }
 
 /// Counts the requests that are refused now because they crash servers.
 fn count_quarantined(board: &QuarantineBoard) -> u64 {
-    let hold = QuarantineSettings::default().hold;
-    let since = Duration::from_millis(sk_model::unix_time_ms()).saturating_sub(hold);
+    let refusal_time = QuarantineSettings::default().refusal_time;
+    let since = Duration::from_millis(sk_model::unix_time_ms()).saturating_sub(refusal_time);
     let entries = board.entries();
     entries.iter().filter(|record| record.convicted_at(since).is_some()).count() as u64
 }
@@ -97,7 +97,7 @@
     (endpoint.service.clone(), view)
 }
 
-fn view_peer(record: &MemberRecord, marks: &MemberMarks) -> (ProxyId, PeerView) {
+fn view_peer(record: &MemberRecord, marks: &ReachabilityMarks) -> (ProxyId, PeerView) {
     let service =
         |endpoint: &EndpointRecord| (endpoint.service.clone(), endpoint.status.to_string());
     let view = PeerView {
--- a/components/daemon/src/identify.rs
+++ b/components/daemon/src/identify.rs
@@ -70,7 +70,7 @@
     log::info!("daemon: the local backend server identified itself as {}.", identity.name);
     port.apply_heartbeat(ServerHeartbeat {
         name: identity.name,
-        born: 0,
+        started_at: 0,
         sequence: 0,
         service,
         address,
--- a/components/daemon/src/notices.rs
+++ b/components/daemon/src/notices.rs
@@ -29,14 +29,16 @@
 #[derive(Serialize, Deserialize)]
 struct CrashWire {
     at_ms: u64,
-    occasion: u64,
+    #[serde(rename = "occasion")]
+    crash_id: u64,
     kind: KindWire,
     is_cleared: bool,
 }
 
 #[derive(Clone, Copy, Serialize, Deserialize)]
 enum KindWire {
-    Company,
+    #[serde(rename = "Company")]
+    Shared,
     Alone,
     Trial,
 }
@@ -79,9 +81,9 @@
 fn to_wire(record: &SuspectRecord) -> SuspectWire {
     let crash = |evidence: &CrashEvidence| CrashWire {
         at_ms: evidence.at.as_millis() as u64,
-        occasion: evidence.occasion,
+        crash_id: evidence.crash_id,
         kind: match evidence.kind {
-            CrashKind::Company => KindWire::Company,
+            CrashKind::Shared => KindWire::Shared,
             CrashKind::Alone => KindWire::Alone,
             CrashKind::Trial => KindWire::Trial,
         },
@@ -96,9 +98,9 @@
 fn from_wire(wire: SuspectWire) -> SuspectRecord {
     let crash = |crash: &CrashWire| CrashEvidence {
         at: Duration::from_millis(crash.at_ms),
-        occasion: crash.occasion,
+        crash_id: crash.crash_id,
         kind: match crash.kind {
-            KindWire::Company => CrashKind::Company,
+            KindWire::Shared => CrashKind::Shared,
             KindWire::Alone => CrashKind::Alone,
             KindWire::Trial => CrashKind::Trial,
         },
--- a/components/daemon/src/options.rs
+++ b/components/daemon/src/options.rs
@@ -6,7 +6,7 @@
 use sk_decide::{
     admitting,
     pacing::PacerSettings,
-    placing::{PlacementOrder, PlacementSettings, PlacementWeights},
+    placing::{PlacementFactors, PlacementOrder, PlacementSettings},
     quarantine::QuarantineSettings,
     retrying::RetrySettings,
 };
@@ -55,15 +55,15 @@
 pub fn table_tuning(settings: &DaemonSettings) -> TableTuning {
     let placing = &settings.placing;
     let defaults = PlacementSettings::default();
-    let near_wait = settings.experiment.near_wait_us.map(Duration::from_micros);
+    let local_wait = settings.experiment.near_wait_us.map(Duration::from_micros);
     let placement = PlacementSettings {
         order: match placing.order {
-            PlacingOrder::Draw => PlacementOrder::Draw,
+            PlacingOrder::Draw => PlacementOrder::TwoChoices,
             PlacingOrder::Soonest => PlacementOrder::Soonest,
         },
         warm_up: Duration::from_millis(placing.warm_up_ms),
-        near_wait: near_wait.unwrap_or(defaults.near_wait),
-        weights: placement_weights(settings),
+        local_wait_per_kilobyte: local_wait.unwrap_or(defaults.local_wait_per_kilobyte),
+        factors: placement_factors(settings),
         ..defaults
     };
     let retry = RetrySettings {
@@ -72,7 +72,7 @@
         floor: placing.retry_floor,
         is_shared: placing.retry_shared,
         free_moves: placing.free_moves,
-        again_after_failure: !is_disabled(settings, Mechanism::FailureRetries),
+        retries_server_failures: !is_disabled(settings, Mechanism::FailureRetries),
         ..RetrySettings::default()
     };
     TableTuning { placement, retry }
@@ -84,9 +84,9 @@
 /// requests it runs together. Its reserved slots would serve no request, at the time when most
 /// callers wait. Callers received 0.796 of the value due to them, less costs, over ten days with no
 /// slots reserved, and 0.790 with half of them reserved.
-fn cold_hold(order: PlacingOrder) -> f64 {
+fn cold_reserve(order: PlacingOrder) -> f64 {
     match order {
-        PlacingOrder::Draw => admitting::GuardSettings::default().cold_hold,
+        PlacingOrder::Draw => admitting::GuardSettings::default().cold_reserve,
         PlacingOrder::Soonest => 0.0,
     }
 }
@@ -96,8 +96,8 @@
     settings.experiment.off.contains(&mechanism)
 }
 
-fn placement_weights(settings: &DaemonSettings) -> PlacementWeights {
-    PlacementWeights {
+fn placement_factors(settings: &DaemonSettings) -> PlacementFactors {
+    PlacementFactors {
         by_work: !is_disabled(settings, Mechanism::WorkKinds),
         failures: !is_disabled(settings, Mechanism::Failures),
         transit: !is_disabled(settings, Mechanism::Transit),
@@ -118,14 +118,14 @@
             },
             short_queue: queue,
             long_queue: queue / 2,
-            retry_least: Duration::from_millis(settings.guard.retry_least_ms),
-            retry_spread: Duration::from_millis(settings.guard.retry_spread_ms),
-            cold_hold: match settings.experiment.cold_hold {
+            retry_after_min: Duration::from_millis(settings.guard.retry_least_ms),
+            retry_after_window: Duration::from_millis(settings.guard.retry_spread_ms),
+            cold_reserve: match settings.experiment.cold_hold {
                 Some(thousandths) => thousandths as f64 / 1000.0,
-                None => cold_hold(settings.placing.order),
+                None => cold_reserve(settings.placing.order),
             },
-            makes_room: !is_disabled(settings, Mechanism::Eviction),
-            bounds_by_link: !is_disabled(settings, Mechanism::LinkLimit),
+            evicts_less_urgent: !is_disabled(settings, Mechanism::Eviction),
+            limits_long_by_link: !is_disabled(settings, Mechanism::LinkLimit),
             ..admitting::GuardSettings::default()
         },
         pacer: PacerSettings { limit: settings.guard.connections, ..PacerSettings::default() },
--- a/components/daemon/src/port.rs
+++ b/components/daemon/src/port.rs
@@ -13,8 +13,8 @@
 use async_trait::async_trait;
 use sk_ledger::{Ledger, SubmitError};
 use sk_member::{
-    EndpointRecord, EndpointStatus, HeartbeatBook, HeartbeatVerdict, MemberBoard, MemberRecord,
-    MemberTable, ServerHeartbeat,
+    EndpointRecord, EndpointStatus, HeartbeatFilter, HeartbeatStatus, MemberRecord, MemberTable,
+    ServerHeartbeat, SharedMembers,
 };
 use sk_model::{
     ChangeRecord, ChangeRequest, ConfigSnapshot, ProxyId, TeamName, Version, unix_time_ms,
@@ -47,7 +47,7 @@
     pub(crate) store: SharedStore,
     pub(crate) ledger: Arc<Ledger>,
     pub(crate) held: Arc<HeldConfig>,
-    pub(crate) members: Arc<MemberBoard>,
+    pub(crate) members: Arc<SharedMembers>,
     pub(crate) servers: Arc<LocalServers>,
     pub(crate) meter: Arc<ControlMeter>,
     pub(crate) unreachable: Arc<UnreachableTimes>,
@@ -60,7 +60,7 @@
     pub(crate) proxy_address: SocketAddr,
     pub(crate) platform: Arc<PlatformAdapter>,
     /// Decides which heartbeats of local backend servers are newer than the last ones.
-    pub(crate) heartbeats: Arc<Mutex<HeartbeatBook>>,
+    pub(crate) heartbeats: Arc<Mutex<HeartbeatFilter>>,
     /// Whether this daemon is stopping.
     pub(crate) is_leaving: Arc<AtomicBool>,
 }
@@ -181,7 +181,7 @@
     fn beat(&self, name: &str, beat: ServerBeat, address: SocketAddr) -> Result<(), OpsError> {
         let heartbeat = ServerHeartbeat {
             name: name.to_owned(),
-            born: beat.born.unwrap_or_default(),
+            started_at: beat.born.unwrap_or_default(),
             sequence: beat.sequence,
             service: self.platform.service_path(&beat.service),
             address,
@@ -192,9 +192,9 @@
             },
             warm_up: Duration::from_millis(beat.warm_up_left),
         };
-        match self.lock_heartbeats().judge(&heartbeat, process_now()) {
-            HeartbeatVerdict::News => self.apply_heartbeat(heartbeat),
-            HeartbeatVerdict::Stale => {
+        match self.lock_heartbeats().classify(&heartbeat, process_now()) {
+            HeartbeatStatus::Current => self.apply_heartbeat(heartbeat),
+            HeartbeatStatus::Stale => {
                 log::info!("ops: ignored a stale heartbeat of server {name}.")
             }
         }
@@ -202,9 +202,9 @@
     }
 
     fn leave(&self, name: &str) -> Result<(), OpsError> {
-        let process = self.lock_heartbeats().leave(name, unix_time_ms(), process_now());
+        let server_id = self.lock_heartbeats().record_leave(name, unix_time_ms(), process_now());
         log::info!("ops: server {name} deregistered.");
-        if process.is_some_and(|process| self.servers.retire(&process)) {
+        if server_id.is_some_and(|server_id| self.servers.retire(&server_id)) {
             publish_endpoints(&self.servers, &self.members);
         }
         Ok(())
@@ -222,7 +222,7 @@
         snapshot.map(Arc::new).map_err(|err| OpsError::from_ledger(&err, unix_time_ms()))
     }
 
-    fn lock_heartbeats(&self) -> MutexGuard<'_, HeartbeatBook> {
+    fn lock_heartbeats(&self) -> MutexGuard<'_, HeartbeatFilter> {
         self.heartbeats.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -230,7 +230,7 @@
     /// after this, so that an acknowledged drain is in effect at the guard, through which alone the
     /// server receives requests.
     pub(crate) fn apply_heartbeat(&self, heartbeat: ServerHeartbeat) {
-        let server = heartbeat.process();
+        let server = heartbeat.server_id();
         self.members.update(|table| table.readmit_server(&server), |()| false);
         self.servers.displace(heartbeat.address, &server);
         let endpoint = EndpointRecord {
@@ -255,8 +255,8 @@
             incarnation: record.incarnation,
             unreachable_since: self.unreachable.unreachable_since(&record.proxy),
         };
-        let view = self.members.view();
-        view.iter().map(|(proxy, record)| (proxy.clone(), known(record))).collect()
+        let members = self.members.snapshot();
+        members.iter().map(|(proxy, record)| (proxy.clone(), known(record))).collect()
     }
 }
 
--- a/components/daemon/src/reachability.rs
+++ b/components/daemon/src/reachability.rs
@@ -5,7 +5,9 @@
     sync::{Arc, Mutex, PoisonError},
 };
 
-use sk_member::{LocalMark, MemberBoard, MemberMarks, MemberRecord, MemberView};
+use sk_member::{
+    LocalReachability, MemberRecord, MemberSnapshot, ReachabilityMarks, SharedMembers,
+};
 use sk_model::{ProxyId, UnixMillis};
 
 /// When each unreachable daemon was first observed as unreachable.
@@ -22,26 +24,26 @@
     }
 
     /// Updates the times from the current members; a daemon that is reachable again is removed.
-    fn observe(&self, view: &MemberView, marks: &MemberMarks) {
+    fn observe(&self, snapshot: &MemberSnapshot, marks: &ReachabilityMarks) {
         let now = sk_model::unix_time_ms();
         let is_unreachable = |record: &MemberRecord| {
-            !record.is_present() || marks.get(&record.proxy) == Some(&LocalMark::Unreachable)
+            !record.is_active() || marks.get(&record.proxy) == Some(&LocalReachability::Unreachable)
         };
         let mut since = self.since.lock().unwrap_or_else(PoisonError::into_inner);
-        since.retain(|proxy, _| view.get(proxy).is_some_and(|record| is_unreachable(record)));
-        for record in view.values().filter(|record| is_unreachable(record)) {
+        since.retain(|proxy, _| snapshot.get(proxy).is_some_and(|record| is_unreachable(record)));
+        for record in snapshot.values().filter(|record| is_unreachable(record)) {
             since.entry(record.proxy.clone()).or_insert(now);
         }
     }
 }
 
-/// Records reachability on each change of the members, until the member board is dropped.
-pub(crate) async fn watch_reachability(times: Arc<UnreachableTimes>, members: Arc<MemberBoard>) {
-    let mut views = members.subscribe();
+/// Records reachability on each change of the members, until the shared members are dropped.
+pub(crate) async fn watch_reachability(times: Arc<UnreachableTimes>, members: Arc<SharedMembers>) {
+    let mut snapshots = members.subscribe();
     loop {
-        let view = views.borrow_and_update().clone();
-        times.observe(&view, &members.marks());
-        if views.changed().await.is_err() {
+        let snapshot = snapshots.borrow_and_update().clone();
+        times.observe(&snapshot, &members.marks());
+        if snapshots.changed().await.is_err() {
             return;
         }
     }
--- a/components/daemon/src/tasks.rs
+++ b/components/daemon/src/tasks.rs
@@ -7,7 +7,9 @@
 };
 
 use sk_logs::OutageLog;
-use sk_member::{LocalMark, MemberBoard, MemberMarks, MemberRecord, MemberView};
+use sk_member::{
+    LocalReachability, MemberRecord, MemberSnapshot, ReachabilityMarks, SharedMembers,
+};
 use sk_model::ServiceName;
 use sk_proxy::{LocalServers, RouteTable, SharedTable, TablePlace, process_now};
 use sk_report::ReportBook;
@@ -21,22 +23,22 @@
 pub(crate) async fn build_tables(
     table: SharedTable,
     held: Arc<HeldConfig>,
-    members: Arc<MemberBoard>,
+    members: Arc<SharedMembers>,
     place: TablePlace,
 ) {
     let mut versions = held.subscribe();
-    let mut views = members.subscribe();
+    let mut snapshots = members.subscribe();
     loop {
         versions.mark_unchanged();
-        let view = views.borrow_and_update().clone();
-        let records = usable_records(&view, &members.marks());
+        let snapshot = snapshots.borrow_and_update().clone();
+        let records = usable_records(&snapshot, &members.marks());
         let before = table.load_full();
         let next =
             RouteTable::build(&before, &held.current(), records.into_iter(), &place, process_now());
         table.store(Arc::new(next));
         let is_open = tokio::select! {
             changed = versions.changed() => changed.is_ok(),
-            changed = views.changed() => changed.is_ok(),
+            changed = snapshots.changed() => changed.is_ok(),
         };
         if !is_open {
             return;
@@ -50,12 +52,15 @@
 /// A daemon that is disconnected, or whose control thread was starved, considers others unreachable
 /// that requests may still reach. Trying them costs a failed connect, after which the request is
 /// known not to have run; leaving them out would refuse every request to their services.
-fn usable_records<'a>(view: &'a MemberView, marks: &MemberMarks) -> Vec<&'a MemberRecord> {
+fn usable_records<'a>(
+    snapshot: &'a MemberSnapshot,
+    marks: &ReachabilityMarks,
+) -> Vec<&'a MemberRecord> {
     let is_reachable = |record: &&MemberRecord| {
-        marks.get(&record.proxy).is_none_or(|mark| *mark != LocalMark::Unreachable)
+        marks.get(&record.proxy).is_none_or(|mark| *mark != LocalReachability::Unreachable)
     };
     let (mut usable, unreachable): (Vec<&MemberRecord>, Vec<&MemberRecord>) =
-        view.values().map(|record| &**record).partition(is_reachable);
+        snapshot.values().map(|record| &**record).partition(is_reachable);
     let endpoints = usable.iter().flat_map(|record| &record.endpoints);
     let served: BTreeSet<&ServiceName> = endpoints.map(|endpoint| &endpoint.service).collect();
     let is_needed = |record: &&MemberRecord| {
@@ -67,7 +72,7 @@
 }
 
 /// Announces the local backend servers to the other daemons.
-pub(crate) fn publish_endpoints(servers: &LocalServers, members: &MemberBoard) {
+pub(crate) fn publish_endpoints(servers: &LocalServers, members: &SharedMembers) {
     let endpoints = servers.endpoints();
     members.update(|table| table.set_endpoints(endpoints), |changed| *changed);
 }
@@ -75,7 +80,7 @@
 /// Removes backend servers that no longer announce themselves.
 pub(crate) async fn expire_servers(
     servers: Arc<LocalServers>,
-    members: Arc<MemberBoard>,
+    members: Arc<SharedMembers>,
     ttl: Duration,
 ) {
     loop {
--- a/components/decide/src/admitting.rs
+++ b/components/decide/src/admitting.rs
@@ -22,7 +22,7 @@
 
 pub use crate::admitting::outcome::{Admission, AdmitFigures, Refusal, RefusalReason, Released};
 pub use crate::admitting::settings::{GuardSettings, QueueOrder};
-pub use crate::admitting::upload::LinkAhead;
+pub use crate::admitting::upload::LinkBacklog;
 pub use crate::admitting::urgency::Urgency;
 
 pub(crate) mod estimate;
@@ -64,7 +64,7 @@
     /// When its caller stops waiting, on the clock of `now`.
     pub deadline: Duration,
     /// Whether it must run with nothing else on the server, see [`crate::quarantine`].
-    pub alone: bool,
+    pub is_exclusive: bool,
     /// When its response-time goal ends, on the clock of `now`; `None` if it has none.
     pub goal: Option<Duration>,
     /// Rank among the requests that wait, 0 first.
@@ -73,7 +73,7 @@
     pub work: WorkKey,
     /// Longest time for which it may wait for a slot, `None` for any time. A request that would
     /// wait longer is refused at once, so that its sender can look for a free slot elsewhere.
-    pub most_wait: Option<Duration>,
+    pub max_wait: Option<Duration>,
 }
 
 /// Factor on the work ahead of a request in the fair queue, since requests that come later start
@@ -194,7 +194,7 @@
             late_reason,
         });
         self.record_short_demand(class, now);
-        match request.alone {
+        match request.is_exclusive {
             true => self.admit_trial(ticket, now),
             false if self.has_room(class, now) => self.admit_running(ticket, now),
             false => {
@@ -239,12 +239,12 @@
         rng: &mut (impl Rng + ?Sized),
     ) -> Refusal {
         let settings = &self.settings;
-        let least = match reason {
-            RefusalReason::ColdStart => self.warm_up_left(now).min(settings.retry_least),
+        let retry_min = match reason {
+            RefusalReason::ColdStart => self.warm_up_left(now).min(settings.retry_after_min),
             RefusalReason::Draining | RefusalReason::Busy => Duration::ZERO,
-            _ => settings.retry_least,
+            _ => settings.retry_after_min,
         };
-        let retry_after = draw_between(least, least + settings.retry_spread, rng);
+        let retry_after = draw_between(retry_min, retry_min + settings.retry_after_window, rng);
         Refusal { reason, retry_after, figures: None }
     }
 
@@ -288,7 +288,7 @@
     /// Returns the figures that decide on a request, or `None` if it may not wait, since a free
     /// slot alone decides then.
     fn figures(&self, request: &GuardRequest, now: Duration) -> Option<AdmitFigures> {
-        if request.most_wait == Some(Duration::ZERO) {
+        if request.max_wait == Some(Duration::ZERO) {
             return None;
         }
         Some(AdmitFigures {
@@ -309,14 +309,14 @@
         let left = request.deadline.saturating_sub(now);
         let queue = &self.fair_queues[class_index(class)];
         let limit = self.settings.queue_limit(class);
-        let has_room = !request.alone && self.has_room(class, now);
+        let has_room = !request.is_exclusive && self.has_room(class, now);
         match request {
             _ if self.is_draining => Some(RefusalReason::Draining),
             _ if left.is_zero() || service > left => Some(RefusalReason::DeadlineTooNear),
-            _ if request.alone && self.trial != TrialState::None => {
+            _ if request.is_exclusive && self.trial != TrialState::None => {
                 Some(RefusalReason::TrialUnderWay)
             }
-            _ if has_room || request.alone => None,
+            _ if has_room || request.is_exclusive => None,
             _ if self.exceeds_max_wait(request, now) => Some(RefusalReason::Busy),
             _ if self.settings.order == QueueOrder::Urgent => {
                 self.urgent_refusal_reason(request, now)
@@ -340,8 +340,9 @@
 
     /// Returns whether a request would wait for longer than it may.
     fn exceeds_max_wait(&self, request: &GuardRequest, now: Duration) -> bool {
-        let is_over = |most: Duration| most.is_zero() || self.slot_wait(request, now) > most;
-        request.most_wait.is_some_and(is_over)
+        let is_over =
+            |max_wait: Duration| max_wait.is_zero() || self.slot_wait(request, now) > max_wait;
+        request.max_wait.is_some_and(is_over)
     }
 
     /// Returns the expected service time of a request, from the estimates that the order uses.
@@ -410,7 +411,7 @@
         let whole = self.settings.warm_up.as_secs_f64().max(f64::EPSILON);
         let cold = self.warm_up_left(now).as_secs_f64() / whole;
         // The value is between zero and the slots, so the cast only rounds.
-        let reserved = (f64::from(slots) * cold * self.settings.cold_hold).floor() as u32;
+        let reserved = (f64::from(slots) * cold * self.settings.cold_reserve).floor() as u32;
         (slots - reserved.min(slots)).max(1)
     }
 
--- a/components/decide/src/admitting/release.rs
+++ b/components/decide/src/admitting/release.rs
@@ -63,8 +63,8 @@
 
     /// Records how many large answers wait for the instance's link, and returns the requests that
     /// leave the queue for it. To be called when the number changes.
-    pub fn set_held_back(&mut self, answers: usize, now: Duration) -> Released {
-        if !self.settings.bounds_by_link {
+    pub fn set_waiting_answers(&mut self, answers: usize, now: Duration) -> Released {
+        if !self.settings.limits_long_by_link {
             return Released::default();
         }
         let before = self.link_limit.waiting_answers();
--- a/components/decide/src/admitting/settings.rs
+++ b/components/decide/src/admitting/settings.rs
@@ -33,12 +33,12 @@
     /// Time in which a server that has just started gets all its slots. Default 10 s.
     pub warm_up: Duration,
     /// Fraction of slots withheld at its start. Default 0.5: six of twelve run.
-    pub cold_hold: f64,
+    pub cold_reserve: f64,
     /// Whether a more urgent request takes the place of the least urgent one in a full queue.
     /// Default yes.
-    pub makes_room: bool,
+    pub evicts_less_urgent: bool,
     /// Whether long work is bounded by what the link carries. Default yes.
-    pub bounds_by_link: bool,
+    pub limits_long_by_link: bool,
     /// Longest wait of a trial for an empty server. Default 200 ms, since the slots that empty
     /// meanwhile stay unused.
     pub trial_max_wait: Duration,
@@ -46,10 +46,10 @@
     /// runs longer goes on with others beside it.
     pub trial_exclusive_time: Duration,
     /// Shortest time after which a refused caller may return. Default 1 s, the unit of the header.
-    pub retry_least: Duration,
+    pub retry_after_min: Duration,
     /// Window over which returns are spread. Default 2 s: at a thousand refusals a second the
     /// returns come evenly and not in step.
-    pub retry_spread: Duration,
+    pub retry_after_window: Duration,
 }
 
 impl Default for GuardSettings {
@@ -61,13 +61,13 @@
             long_queue: 12,
             long_share: 1.0 / 3.0,
             warm_up: Duration::from_secs(10),
-            cold_hold: 0.5,
-            makes_room: true,
-            bounds_by_link: true,
+            cold_reserve: 0.5,
+            evicts_less_urgent: true,
+            limits_long_by_link: true,
             trial_max_wait: Duration::from_millis(200),
             trial_exclusive_time: Duration::from_millis(500),
-            retry_least: Duration::from_secs(1),
-            retry_spread: Duration::from_secs(2),
+            retry_after_min: Duration::from_secs(1),
+            retry_after_window: Duration::from_secs(2),
         }
     }
 }
--- a/components/decide/src/admitting/upload.rs
+++ b/components/decide/src/admitting/upload.rs
@@ -8,13 +8,13 @@
 
 /// What the instance's link has to carry before an upload.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LinkAhead {
+pub struct LinkBacklog {
     /// Time until the upload may be sent.
     pub wait: Duration,
     /// Time that the upload takes from then on.
-    pub takes: Duration,
+    pub transfer_time: Duration,
     /// Uploads on their way here that have no slot yet.
-    pub coming: u32,
+    pub pending: u32,
 }
 
 impl AdmissionGuard {
@@ -32,7 +32,7 @@
     pub fn consider_upload(
         &self,
         request: &GuardRequest,
-        link: &LinkAhead,
+        link: &LinkBacklog,
         now: Duration,
         rng: &mut (impl Rng + ?Sized),
     ) -> Result<(), Refusal> {
@@ -46,23 +46,23 @@
     fn upload_refusal_reason(
         &self,
         request: &GuardRequest,
-        link: &LinkAhead,
+        link: &LinkBacklog,
         now: Duration,
     ) -> Option<RefusalReason> {
-        let link_time = link.wait + link.takes;
+        let link_time = link.wait + link.transfer_time;
         let at_server = GuardRequest {
             deadline: request.deadline.saturating_sub(link_time),
             goal: request.goal.map(|goal| goal.saturating_sub(link_time)),
             ..*request
         };
         let service = self.service_time(request, now);
-        let is_full = self.running_count() + link.coming >= self.slots(now);
-        match request.most_wait {
+        let is_full = self.running_count() + link.pending >= self.slots(now);
+        match request.max_wait {
             _ if let Some(reason) = self.refusal_reason(&at_server, now) => Some(reason),
-            Some(most) if link.wait > most || (is_full && most.is_zero()) => {
+            Some(max_wait) if link.wait > max_wait || (is_full && max_wait.is_zero()) => {
                 Some(RefusalReason::Busy)
             }
-            _ if misses_goal(request, link.wait, link.takes + service, now) => {
+            _ if misses_goal(request, link.wait, link.transfer_time + service, now) => {
                 Some(RefusalReason::GoalMissed)
             }
             _ => None,
--- a/components/decide/src/admitting/urgent.rs
+++ b/components/decide/src/admitting/urgent.rs
@@ -22,12 +22,13 @@
     ///
     /// A burst of long work can fill the queue. A call that another request waits for would then be
     /// refused, and the work that its caller has done already would be lost with it.
-    pub fn make_room(&mut self, request: &GuardRequest, now: Duration) -> Released {
+    pub fn evict_less_urgent(&mut self, request: &GuardRequest, now: Duration) -> Released {
         let mut released = Released::default();
         let class = request.class;
-        let makes_room = self.settings.makes_room && self.settings.order == QueueOrder::Urgent;
+        let evicts_less_urgent =
+            self.settings.evicts_less_urgent && self.settings.order == QueueOrder::Urgent;
         let is_full = self.queued(class) >= self.settings.queue_limit(class);
-        if !makes_room || request.most_wait.is_some() || !is_full {
+        if !evicts_less_urgent || request.max_wait.is_some() || !is_full {
             return released;
         }
         let service = self.service_time(request, now);
@@ -58,7 +59,7 @@
             }
             _ => by_deadline,
         };
-        match request.most_wait.map(|most| now + most * 2) {
+        match request.max_wait.map(|max_wait| now + max_wait * 2) {
             Some(handed_back) if handed_back < latest => (handed_back, RefusalReason::Busy),
             _ => (latest, RefusalReason::DeadlineTooNear),
         }
--- a/components/decide/src/deadline.rs
+++ b/components/decide/src/deadline.rs
@@ -44,7 +44,7 @@
 
 /// Why a call may take no further hop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum DescendError {
+pub enum NextHopError {
     /// The call has taken [`HOP_LIMIT`] hops, most likely in a routing loop.
     #[error("call has taken {0} hops, the most allowed is {HOP_LIMIT}")]
     HopLimit(u8),
@@ -55,18 +55,18 @@
 
 impl CallContext {
     /// Creates the context of a call that arrives without one.
-    pub fn fresh(deadline: Duration) -> Self {
+    pub fn new(deadline: Duration) -> Self {
         Self { remaining: deadline, hops: 0, retried_above: 0 }
     }
 
     /// Limits the remaining time to the deadline of the route, if that is nearer.
     #[must_use]
-    pub fn bounded_by(self, deadline: Duration) -> Self {
+    pub fn limited_to(self, deadline: Duration) -> Self {
         Self { remaining: self.remaining.min(deadline), ..self }
     }
 
     /// Returns the time left after `elapsed` at this hop, less the return of the answer.
-    pub fn left_after(&self, elapsed: Duration) -> Duration {
+    pub fn remaining_after(&self, elapsed: Duration) -> Duration {
         self.remaining.saturating_sub(elapsed).saturating_sub(RETURN_MARGIN)
     }
 
@@ -75,13 +75,13 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`DescendError`] if the call may go no further. Nothing was sent then, so the
+    /// Returns a [`NextHopError`] if the call may go no further. Nothing was sent then, so the
     /// answer may say "not run".
-    pub fn descend(&self, elapsed: Duration, own_retries: u8) -> Result<Self, DescendError> {
-        let remaining = self.left_after(elapsed);
+    pub fn next_hop(&self, elapsed: Duration, own_retries: u8) -> Result<Self, NextHopError> {
+        let remaining = self.remaining_after(elapsed);
         match self.hops.saturating_add(1) {
-            hops if hops > HOP_LIMIT => Err(DescendError::HopLimit(self.hops)),
-            _ if remaining < MIN_REMAINING => Err(DescendError::Expired(remaining)),
+            hops if hops > HOP_LIMIT => Err(NextHopError::HopLimit(self.hops)),
+            _ if remaining < MIN_REMAINING => Err(NextHopError::Expired(remaining)),
             hops => {
                 let retried_above = self.retried_above.saturating_add(own_retries);
                 Ok(Self { remaining, hops, retried_above })
--- a/components/decide/src/idling.rs
+++ b/components/decide/src/idle_limit.rs
@@ -3,35 +3,35 @@
 //! Some servers drop idle connections silently, and sooner than they announce. Whatever is sent
 //! next is reset. A request that may repeat is then sent again and costs a round trip; one that may
 //! run once only is lost, since nobody can tell a reset before its run from one after it. Each such
-//! reset therefore lowers the idle time that is trusted, for a while.
+//! reset therefore lowers the allowed idle time for a while.
 
 use std::time::Duration;
 
 /// Longest idle time. Servers commonly close their connections after 5 s; a request sent at that
 /// very moment would be lost with an unknown outcome.
-pub const IDLE_LIMIT: Duration = Duration::from_secs(4);
+pub const MAX_IDLE: Duration = Duration::from_secs(4);
 /// Longest idle time for a request that may run once only. A busy server's connections wait for
 /// some tens of milliseconds; in place of one that has waited for longer a new one is opened, which
 /// costs a millisecond.
-const RUN_ONCE_IDLE_LIMIT: Duration = Duration::from_millis(250);
+const MAX_RUN_ONCE_IDLE: Duration = Duration::from_millis(250);
 /// Shortest idle time that a reset is attributed to. On a connection that was in use just now a
 /// reset is the server's choice or its death, and says nothing of idle ones: with such resets
 /// counted, a server that lost answers got a new connection for nearly each request.
-pub const STALE_LEAST: Duration = Duration::from_millis(100);
+pub const MIN_STALE_IDLE: Duration = Duration::from_millis(100);
 /// Time in which a lowered limit doubles.
 const LIMIT_DOUBLING_TIME: Duration = Duration::from_secs(5);
 
 /// Limit on the idle time of one server's connections.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct IdleTrust {
+pub struct IdleLimit {
     /// A lowered limit, and when it was lowered.
     lowered: Option<(Duration, Duration)>,
 }
 
-impl IdleTrust {
+impl IdleLimit {
     /// Returns how long a connection may have been idle at `now`.
     pub fn limit(&self, is_repeatable: bool, now: Duration) -> Duration {
-        let usual = if is_repeatable { IDLE_LIMIT } else { RUN_ONCE_IDLE_LIMIT };
+        let usual = if is_repeatable { MAX_IDLE } else { MAX_RUN_ONCE_IDLE };
         let lowered = self.lowered.map(|(limit, at)| {
             let doublings =
                 now.saturating_sub(at).as_secs_f64() / LIMIT_DOUBLING_TIME.as_secs_f64();
@@ -44,8 +44,8 @@
 
     /// Records that a connection which had been idle for `idle` was found dead, and lowers the
     /// limit to half of that.
-    pub fn note_stale(&mut self, idle: Duration, now: Duration) {
-        if idle < STALE_LEAST {
+    pub fn record_stale(&mut self, idle: Duration, now: Duration) {
+        if idle < MIN_STALE_IDLE {
             return;
         }
         let limit = (idle / 2).min(self.limit(true, now));
--- a/components/decide/src/lib.rs
+++ b/components/decide/src/lib.rs
@@ -11,14 +11,14 @@
 pub mod backoff;
 pub mod deadline;
 pub mod fetch_gate;
-pub mod idling;
+pub mod idle_limit;
 pub mod pacing;
 pub mod placing;
 pub mod quarantine;
 pub mod retrying;
-pub mod seeking;
-pub mod transferring;
-pub mod trip;
+pub mod slot_search;
+pub mod transfer_queue;
+pub mod transit_time;
 
 pub use sk_model::WorkClass;
 
--- a/components/decide/src/pacing.rs
+++ b/components/decide/src/pacing.rs
@@ -24,7 +24,7 @@
 /// Whether a connection may be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectVerdict {
-    /// Open it now. It counts as open until [`ConnectPacer::closed`] is called.
+    /// Open it now. It counts as open until [`ConnectPacer::record_closed`] is called.
     Open,
     /// Ask again after this time.
     Wait(Duration),
@@ -47,7 +47,7 @@
     }
 
     /// Decides whether a connection may be opened at `now`, and counts it if so.
-    pub fn ask(&mut self, now: Duration) -> ConnectVerdict {
+    pub fn request_connection(&mut self, now: Duration) -> ConnectVerdict {
         match self.next_at.checked_sub(now) {
             _ if self.open >= self.settings.limit => ConnectVerdict::Full,
             Some(wait) if !wait.is_zero() => ConnectVerdict::Wait(wait),
@@ -60,7 +60,7 @@
     }
 
     /// Records that a connection was closed or could not be opened.
-    pub fn closed(&mut self) {
+    pub fn record_closed(&mut self) {
         self.open = self.open.saturating_sub(1);
     }
 
--- a/components/decide/src/placing.rs
+++ b/components/decide/src/placing.rs
@@ -23,7 +23,7 @@
 pub use crate::placing::gauge::{EndpointGauge, EndpointState};
 use crate::placing::mean::{SizeMean, WorkMeans};
 
-pub use crate::placing::settings::{PlacementOrder, PlacementSettings, PlacementWeights};
+pub use crate::placing::settings::{PlacementFactors, PlacementOrder, PlacementSettings};
 
 mod call;
 mod gauge;
@@ -91,7 +91,7 @@
     /// Whether it may only go to an endpoint where a slot is likely free or, in this daemon's own
     /// data centre, expected to be free soon. Endpoints that have lately reported a longer wait are
     /// left out.
-    pub wants_slot: bool,
+    pub needs_free_slot: bool,
     /// Time left until its response-time goal, if it has one.
     pub goal: Option<Duration>,
 }
@@ -179,7 +179,7 @@
         if self.settings.order == PlacementOrder::Soonest {
             return match self.pick_soonest(request, now, rng) {
                 Some(index) => Ok(PlacedCall::start(self, index, request, false, now)),
-                None if request.wants_slot => Err(PlaceError::AllExcluded),
+                None if request.needs_free_slot => Err(PlaceError::AllExcluded),
                 None => self.place_on_ejected(request, now).ok_or(PlaceError::AllExcluded),
             };
         }
@@ -192,7 +192,7 @@
 
     /// Records the load that an endpoint reports, from 0 (idle) to 1 (full). It lowers the slots
     /// counted on at the endpoint until it expires, and never raises them.
-    pub fn hint(&self, id: EndpointId, load: f64, now: Duration) {
+    pub fn record_load(&self, id: EndpointId, load: f64, now: Duration) {
         if let Some(entry) = self.entries.iter().find(|entry| entry.record.id == id) {
             entry.gauge.set_hint(load, now + self.settings.hint_life);
         }
@@ -200,7 +200,7 @@
 
     /// Records how long a request would wait for a slot at an endpoint, as its guard reports. The
     /// report counts until that wait would be over.
-    pub fn note_wait(&self, id: EndpointId, wait: Duration, now: Duration) {
+    pub fn record_wait(&self, id: EndpointId, wait: Duration, now: Duration) {
         if let Some(entry) = self.entries.iter().find(|entry| entry.record.id == id) {
             entry.gauge.set_wait(now + wait.min(MAX_REPORTED_WAIT));
         }
@@ -208,14 +208,14 @@
 
     /// Records the failure rate that an endpoint's guard reports, from 0 to 1. It can only raise
     /// the rate that this daemon has seen itself, and decays like it.
-    pub fn note_failing(&self, id: EndpointId, part: f64, now: Duration) {
+    pub fn record_failure_rate(&self, id: EndpointId, part: f64, now: Duration) {
         if let Some(entry) = self.entries.iter().find(|entry| entry.record.id == id) {
             entry.gauge.raise_failure_rate(part, now);
         }
     }
 
     /// Records the size of an answer.
-    pub fn note_size(&self, work: WorkKey, bytes: u64) {
+    pub fn record_size(&self, work: WorkKey, bytes: u64) {
         self.sizes.for_kind(work).add(bytes);
     }
 
--- a/components/decide/src/placing/call.rs
+++ b/components/decide/src/placing/call.rs
@@ -29,7 +29,7 @@
     table: Arc<PlacementTable>,
     index: usize,
     work: WorkKey,
-    most_wait: Option<Duration>,
+    max_wait: Option<Duration>,
     is_probe: bool,
     has_head: bool,
 }
@@ -45,14 +45,14 @@
     ) -> Self {
         let entry = &table.entries[index];
         entry.gauge.begin_request(now);
-        let most_wait = table.most_wait(entry, request);
+        let max_wait = table.max_wait(entry, request);
         let work = table.work_key_of(request);
-        Self { table: Arc::clone(table), index, work, most_wait, is_probe, has_head: false }
+        Self { table: Arc::clone(table), index, work, max_wait, is_probe, has_head: false }
     }
 
     /// Records that the head of an answer came. `transit` is the time spent in transit, without the
     /// time for which the guard reports to have kept the request; `None` if it reports none.
-    pub fn note_head(&mut self, transit: Option<Duration>, now: Duration) {
+    pub fn record_head(&mut self, transit: Option<Duration>, now: Duration) {
         let gauge = &self.table.entries[self.index].gauge;
         if !std::mem::replace(&mut self.has_head, true) {
             gauge.end_unanswered(Some(now));
@@ -74,8 +74,8 @@
 
     /// Returns how long the request may wait for a slot at the endpoint, or `None` if it may wait
     /// for any time.
-    pub fn most_wait(&self) -> Option<Duration> {
-        self.most_wait
+    pub fn max_wait(&self) -> Option<Duration> {
+        self.max_wait
     }
 
     /// Returns whether the request is the probe of an ejected endpoint.
--- a/components/decide/src/placing/gauge.rs
+++ b/components/decide/src/placing/gauge.rs
@@ -270,7 +270,7 @@
     /// Requests of this daemon in flight.
     pub in_flight: u32,
     /// Slots that are counted on now.
-    pub share: f64,
+    pub effective_slots: f64,
     /// Whether it is ejected.
     pub is_ejected: bool,
     /// Ejections since it last ran well.
@@ -285,7 +285,7 @@
             id: record.id,
             incarnation: record.incarnation,
             in_flight: gauge.in_flight(),
-            share: effective_slots,
+            effective_slots,
             is_ejected: gauge.is_ejected(),
             ejection_count: gauge.ejection_count.load(Ordering::Relaxed),
             is_leaving: gauge.is_leaving(),
--- a/components/decide/src/placing/outlier.rs
+++ b/components/decide/src/placing/outlier.rs
@@ -117,7 +117,7 @@
         let _guard = self.lock_ejection();
         let ejected = self.not_leaving().filter(|entry| entry.gauge.is_ejected()).count();
         match ejected < self.settings.max_ejected(self.not_leaving().count()) {
-            _ if entry.gauge.is_ejected() || !self.settings.weights.outliers => {}
+            _ if entry.gauge.is_ejected() || !self.settings.factors.outliers => {}
             true => entry.gauge.eject(&self.settings, now),
             false => entry.gauge.set_hint(1.0, now + self.settings.hint_life),
         }
--- a/components/decide/src/placing/settings.rs
+++ b/components/decide/src/placing/settings.rs
@@ -9,7 +9,7 @@
     /// proportion to their slots. For work of a few milliseconds, where trying farther endpoints
     /// costs as much as the work.
     #[default]
-    Draw,
+    TwoChoices,
     /// The endpoint whose answer is expected first. For work that is long beside a round trip.
     Soonest,
 }
@@ -17,7 +17,7 @@
 /// Settings of placement, the same for all services of a daemon.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlacementSettings {
-    /// Rule by which an endpoint is chosen. Default [`PlacementOrder::Draw`].
+    /// Rule by which an endpoint is chosen. Default [`PlacementOrder::TwoChoices`].
     pub order: PlacementOrder,
     /// Load of the endpoints at one distance, in requests of this daemon in flight per slot counted
     /// on, at which requests begin to spill to the next distance. Default 0.7: above it queues form
@@ -61,15 +61,15 @@
     pub ejection_cap: Duration,
     /// Wait for a slot in the own data centre that is accepted per kilobyte which would otherwise
     /// cross to another data centre, where the answer is in time either way. Default 4 ms.
-    pub near_wait: Duration,
+    pub local_wait_per_kilobyte: Duration,
     /// Observations that placement takes into account.
-    pub weights: PlacementWeights,
+    pub factors: PlacementFactors,
 }
 
 /// Observations that [`PlacementOrder::Soonest`] takes into account. Each can be left out, to
 /// measure what it gains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PlacementWeights {
+pub struct PlacementFactors {
     /// Service times of each kind of work, in place of one time per class.
     pub by_work: bool,
     /// Failure rates of endpoints.
@@ -82,7 +82,7 @@
     pub outliers: bool,
 }
 
-impl Default for PlacementWeights {
+impl Default for PlacementFactors {
     fn default() -> Self {
         Self { by_work: true, failures: true, transit: true, wait: true, outliers: true }
     }
@@ -91,7 +91,7 @@
 impl Default for PlacementSettings {
     fn default() -> Self {
         Self {
-            order: PlacementOrder::Draw,
+            order: PlacementOrder::TwoChoices,
             spill_start: 0.7,
             spill_full: 1.0,
             cold_share: 0.1,
@@ -107,8 +107,8 @@
             max_ejected_share: 1.0 / 3.0,
             ejection_base: Duration::from_secs(5),
             ejection_cap: Duration::from_secs(60),
-            near_wait: Duration::from_millis(4),
-            weights: PlacementWeights::default(),
+            local_wait_per_kilobyte: Duration::from_millis(4),
+            factors: PlacementFactors::default(),
         }
     }
 }
--- a/components/decide/src/placing/soonest.rs
+++ b/components/decide/src/placing/soonest.rs
@@ -91,7 +91,8 @@
             self.entries.iter().zip(failures).enumerate().filter(|(_, (entry, failures))| {
                 super::is_eligible(entry, request)
                     && !entry.gauge.is_ejected()
-                    && (!request.wants_slot || self.has_free_slot(entry, request, *failures, now))
+                    && (!request.needs_free_slot
+                        || self.has_free_slot(entry, request, *failures, now))
             });
         let mut best: Option<(Duration, usize)> = None;
         for (index, (entry, failures)) in eligible {
@@ -119,9 +120,9 @@
         let work = gauge.latency(self.work_key_of(request)).decayed_towards(usual, now);
         // A cold server takes about twice as long.
         let work = work.div_f64(gauge.warm_fraction(&self.settings, now).max(0.5));
-        let weights = &self.settings.weights;
-        let wait = if weights.wait { gauge.wait(now) } else { Duration::ZERO };
-        let transit = if weights.transit { gauge.transit(work, now) } else { Duration::ZERO };
+        let factors = &self.settings.factors;
+        let wait = if factors.wait { gauge.wait(now) } else { Duration::ZERO };
+        let transit = if factors.transit { gauge.transit(work, now) } else { Duration::ZERO };
         let is_in_time = failures <= MAX_HEALTHY_FAILURE_RATE
             && request
                 .goal
@@ -143,7 +144,7 @@
     /// Returns the key that a request's service times are kept under: the kind of its work, or its
     /// class where kinds are not told apart.
     pub(super) fn work_key_of(&self, request: &PlaceRequest<'_>) -> WorkKey {
-        match self.settings.weights.by_work {
+        match self.settings.factors.by_work {
             true => request.work,
             false => request.class as WorkKey,
         }
@@ -158,15 +159,17 @@
     /// slot that would have been free near by some milliseconds later. The wait grows with the
     /// bytes of the request, so that when a data centre is short of slots for longer, the light
     /// requests are the ones that leave.
-    pub(super) fn most_wait(
+    pub(super) fn max_wait(
         &self,
         entry: &TableEntry,
         request: &PlaceRequest<'_>,
     ) -> Option<Duration> {
         let kilobytes = request.bytes as f64 / 1000.0;
         match entry.record.distance {
-            _ if !request.wants_slot => None,
-            EndpointDistance::SameCentre => Some(self.settings.near_wait.mul_f64(kilobytes)),
+            _ if !request.needs_free_slot => None,
+            EndpointDistance::SameCentre => {
+                Some(self.settings.local_wait_per_kilobyte.mul_f64(kilobytes))
+            }
             EndpointDistance::SameRegion | EndpointDistance::OtherRegion => Some(Duration::ZERO),
         }
     }
@@ -180,10 +183,10 @@
         failures: f64,
         now: Duration,
     ) -> bool {
-        let most = self.most_wait(entry, request).unwrap_or(Duration::MAX);
-        let weights = &self.settings.weights;
+        let max_wait = self.max_wait(entry, request).unwrap_or(Duration::MAX);
+        let factors = &self.settings.factors;
         let is_soon =
-            !weights.wait || entry.gauge.wait(now) <= most.saturating_add(FREE_SLOT_TOLERANCE);
+            !factors.wait || entry.gauge.wait(now) <= max_wait.saturating_add(FREE_SLOT_TOLERANCE);
         is_soon && failures < MIN_FAILING_RATE
     }
 
@@ -195,7 +198,7 @@
     /// left out, and a failure weighed as one goal in place of two seconds, callers got 0.937 of
     /// the value due to them over five days, and 0.931 before.
     fn excess_failure_rates(&self, now: Duration) -> Vec<f64> {
-        if !self.settings.weights.failures {
+        if !self.settings.factors.failures {
             return vec![0.0; self.entries.len()];
         }
         let rates: Vec<f64> =
--- a/components/decide/src/quarantine.rs
+++ b/components/decide/src/quarantine.rs
@@ -33,9 +33,9 @@
 pub struct QuarantineSettings {
     /// How long a convicted request is refused. Default 10 min: a resend costs one server at most
     /// six times an hour, and a repaired service takes the request again soon.
-    pub hold: Duration,
+    pub refusal_time: Duration,
     /// How long evidence is kept. Default 1 h, so that a request which its caller sends again an
-    /// hour later still runs alone. At least `hold`.
+    /// hour later still runs alone. At least `refusal_time`.
     pub evidence_life: Duration,
     /// Requests kept at most. Default 1024, about 200 KB: two crashes a day leave some 24 each.
     pub capacity: usize,
@@ -49,7 +49,7 @@
 impl Default for QuarantineSettings {
     fn default() -> Self {
         Self {
-            hold: Duration::from_secs(600),
+            refusal_time: Duration::from_secs(600),
             evidence_life: Duration::from_secs(3600),
             capacity: 1024,
             crash_limit: None,
@@ -63,7 +63,7 @@
     /// Run it as any other.
     Clear,
     /// Run it with nothing else on the server.
-    TryAlone,
+    RunAlone,
     /// Do not run it; the time after which it may be tried again.
     Refused(Duration),
 }
@@ -72,7 +72,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CrashReport<'a> {
     /// Identifies the crash.
-    pub occasion: CrashId,
+    pub crash_id: CrashId,
     /// Time of the crash since the Unix epoch.
     pub at: Duration,
     /// Requests in flight on the server.
@@ -104,15 +104,18 @@
     }
 
     /// Decides how a request may run.
-    pub fn judge(&self, fingerprint: Fingerprint, now: Duration) -> QuarantineVerdict {
+    pub fn classify(&self, fingerprint: Fingerprint, now: Duration) -> QuarantineVerdict {
         let Some(record) = self.records.get(&fingerprint) else { return QuarantineVerdict::Clear };
         let since = now.saturating_sub(self.settings.evidence_life);
         if let Some(limit) = self.settings.crash_limit {
             return self.judge_crashes(record, limit, now);
         }
-        match record.convicted_at(since).map(|at| (at + self.settings.hold).saturating_sub(now)) {
+        match record
+            .convicted_at(since)
+            .map(|at| (at + self.settings.refusal_time).saturating_sub(now))
+        {
             Some(left) if !left.is_zero() => QuarantineVerdict::Refused(left),
-            _ if record.is_suspect(since) => QuarantineVerdict::TryAlone,
+            _ if record.is_suspect(since) => QuarantineVerdict::RunAlone,
             _ => QuarantineVerdict::Clear,
         }
     }
@@ -125,7 +128,7 @@
         now: Duration,
     ) -> QuarantineVerdict {
         let since = now.saturating_sub(self.settings.evidence_life);
-        let left = (record.last_crash_at() + self.settings.hold).saturating_sub(now);
+        let left = (record.last_crash_at() + self.settings.refusal_time).saturating_sub(now);
         match record.crash_count(since) >= limit as usize && !left.is_zero() {
             true => QuarantineVerdict::Refused(left),
             false => QuarantineVerdict::Clear,
@@ -140,11 +143,11 @@
         let kind = match fingerprints.len() {
             1 if report.is_trial => CrashKind::Trial,
             1 => CrashKind::Alone,
-            _ => CrashKind::Company,
+            _ => CrashKind::Shared,
         };
         for fingerprint in fingerprints {
             let evidence =
-                CrashEvidence { at: report.at, occasion: report.occasion, kind, is_cleared: false };
+                CrashEvidence { at: report.at, crash_id: report.crash_id, kind, is_cleared: false };
             self.merge_record(&SuspectRecord::with_crash(fingerprint, evidence));
         }
         self.shrink();
--- a/components/decide/src/quarantine/record.rs
+++ b/components/decide/src/quarantine/record.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum CrashKind {
     /// Others were in flight too.
-    Company,
+    Shared,
     /// Nothing else was in flight, by chance.
     Alone,
     /// Nothing else was in flight, because the request was a suspect and ran as a trial.
@@ -25,7 +25,7 @@
     /// Time since the Unix epoch.
     pub at: Duration,
     /// Identifies the crash.
-    pub occasion: CrashId,
+    pub crash_id: CrashId,
     /// What was in flight beside it.
     pub kind: CrashKind,
     /// Whether a later success has cleared the request of it.
@@ -92,7 +92,7 @@
                     alone += 1;
                     alone > 1
                 }
-                CrashKind::Company => false,
+                CrashKind::Shared => false,
             })
             .map(|evidence| evidence.at)
             .last()
@@ -115,7 +115,7 @@
 
     /// Merges evidence of one crash with what is known of that crash, or adds it.
     fn merge_evidence(&mut self, other: &CrashEvidence) {
-        match self.evidence.iter_mut().find(|own| own.occasion == other.occasion) {
+        match self.evidence.iter_mut().find(|own| own.crash_id == other.crash_id) {
             Some(own) => {
                 own.at = own.at.max(other.at);
                 own.kind = own.kind.max(other.kind);
--- a/components/decide/src/retrying.rs
+++ b/components/decide/src/retrying.rs
@@ -33,7 +33,7 @@
     NotRun,
     /// A server got it and reported that it did not run it.
     #[display("turned-away")]
-    TurnedAway,
+    RejectedByServer,
     /// The server ran it and its answer is a failure.
     #[display("ran")]
     Ran,
@@ -66,7 +66,7 @@
     pub free_moves: u8,
     /// Whether a request that may repeat is sent again after a server has failed it, while its goal
     /// can be met. Default yes.
-    pub again_after_failure: bool,
+    pub retries_server_failures: bool,
     /// Delay before a retry.
     pub backoff: BackoffSettings,
 }
@@ -101,7 +101,7 @@
             cap: 20_000,
             is_shared: false,
             free_moves: 0,
-            again_after_failure: true,
+            retries_server_failures: true,
             backoff,
         }
     }
@@ -165,7 +165,7 @@
     }
 
     /// Returns the number of whole retries left.
-    pub fn left(&self) -> u64 {
+    pub fn remaining_retries(&self) -> u64 {
         self.tokens.load(Ordering::Relaxed) / RETRY_COST
     }
 
@@ -204,7 +204,7 @@
     /// Retries of this layer so far.
     pub own_retries: u8,
     /// Attempts so far that were moved elsewhere without drawing on the budget.
-    pub moves: u8,
+    pub own_free_moves: u8,
     /// Retries of layers above, as the request carried them.
     pub retried_above: u8,
     /// Time left for the request.
@@ -224,13 +224,13 @@
     RetriedAbove,
     /// This layer has made all its retries.
     #[error("all retries of this layer are made")]
-    RetriesSpent,
+    RetryLimitReached,
     /// Another attempt would not finish in time.
     #[error("too little time is left for another attempt")]
     DeadlineTooNear,
     /// The service's budget is empty.
     #[error("the retry budget of the service is empty")]
-    BudgetSpent,
+    RetryBudgetEmpty,
     /// Every endpoint would answer the same.
     #[error("the refusal holds at every endpoint")]
     Final,
@@ -239,10 +239,10 @@
     BodySent,
     /// As many servers as the route allows have had the request.
     #[error("the route allows no more servers")]
-    ServersSpent,
+    ServerLimitReached,
     /// Refusals for want of a free slot have taken too long to ask another endpoint.
     #[error("refusals for want of a free slot have taken too long")]
-    RefusedLong,
+    RefusalsTooSlow,
     /// No other endpoint may take it now.
     #[error("no other endpoint takes it")]
     NoEndpoint,
@@ -254,7 +254,7 @@
     /// Try again after this time, at another endpoint.
     Retry(Duration),
     /// Try again at once at another endpoint: no server accepted the attempt.
-    Move,
+    FreeMove,
     /// Answer with the failure.
     GiveUp(GiveUpReason),
 }
@@ -277,14 +277,17 @@
             RetryVerdict::GiveUp(GiveUpReason::MayHaveRun)
         }
         _ if attempt.retried_above > 0 => RetryVerdict::GiveUp(GiveUpReason::RetriedAbove),
-        _ if is_unsent && attempt.moves < settings.free_moves && !attempt.remaining.is_zero() => {
-            RetryVerdict::Move
+        _ if is_unsent
+            && attempt.own_free_moves < settings.free_moves
+            && !attempt.remaining.is_zero() =>
+        {
+            RetryVerdict::FreeMove
         }
         _ if attempt.own_retries >= settings.max_retries => {
-            RetryVerdict::GiveUp(GiveUpReason::RetriesSpent)
+            RetryVerdict::GiveUp(GiveUpReason::RetryLimitReached)
         }
         _ if needed >= attempt.remaining => RetryVerdict::GiveUp(GiveUpReason::DeadlineTooNear),
-        _ if !budget.take(now) => RetryVerdict::GiveUp(GiveUpReason::BudgetSpent),
+        _ if !budget.take(now) => RetryVerdict::GiveUp(GiveUpReason::RetryBudgetEmpty),
         _ => RetryVerdict::Retry(delay),
     }
 }
--- a/components/decide/src/seeking.rs
+++ b/components/decide/src/slot_search.rs
@@ -46,7 +46,7 @@
     /// Returns whether the next attempt asks for a free slot. Work that `may_queue_at_once` never
     /// does: a large answer is worth a wait near by, and a body that can be sent once only must not
     /// be spent on an attempt that is likely refused.
-    pub fn wants_slot(&self, order: PlacementOrder, may_queue_at_once: bool) -> bool {
+    pub fn needs_free_slot(&self, order: PlacementOrder, may_queue_at_once: bool) -> bool {
         order == PlacementOrder::Soonest
             && !may_queue_at_once
             && self.phase == SearchPhase::FreeSlot
@@ -58,27 +58,27 @@
     }
 
     /// Excludes an endpoint for good.
-    pub fn note_tried(&mut self, id: EndpointId) {
+    pub fn exclude(&mut self, id: EndpointId) {
         self.tried.push(id);
     }
 
     /// Excludes an endpoint that has no free slot, and goes on to queue after enough of them, or
     /// when they have taken long beside the request's response-time goal.
-    pub fn note_busy(&mut self, id: EndpointId, took: Duration, goal: Option<Duration>) {
+    pub fn exclude_busy(&mut self, id: EndpointId, took: Duration, goal: Option<Duration>) {
         self.busy.push(id);
-        self.note_refused(took);
-        if self.busy.len() >= MAX_FREE_SLOT_ATTEMPTS || self.is_long(goal) {
+        self.add_refusal_time(took);
+        if self.busy.len() >= MAX_FREE_SLOT_ATTEMPTS || self.has_refused_too_long(goal) {
             self.begin_queueing();
         }
     }
 
     /// Records how long an endpoint took to refuse a request for want of a free slot.
-    pub fn note_refused(&mut self, took: Duration) {
+    pub fn add_refusal_time(&mut self, took: Duration) {
         self.refused_for += took;
     }
 
     /// Returns whether refusals have taken too long for a further attempt.
-    pub fn is_long(&self, goal: Option<Duration>) -> bool {
+    pub fn has_refused_too_long(&self, goal: Option<Duration>) -> bool {
         goal.is_some_and(|goal| self.refused_for >= goal / REFUSAL_TIME_DIVISOR)
     }
 
--- a/components/decide/src/transferring.rs
+++ b/components/decide/src/transfer_queue.rs
@@ -13,7 +13,7 @@
 
 use slotmap::{SlotMap, new_key_type};
 
-use crate::admitting::{LinkAhead, estimate::ServiceEstimate};
+use crate::admitting::{LinkBacklog, estimate::ServiceEstimate};
 
 new_key_type! {
     /// Identifies a large body from its first byte to its end.
@@ -30,9 +30,9 @@
 
 /// Whether a body may go on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TransferTurn {
+pub enum TransferPermit {
     /// Its next bytes may be sent.
-    Go,
+    Granted,
     /// It waits; to be asked again when another ends, or after this time.
     Wait(Duration),
 }
@@ -66,9 +66,9 @@
 
     /// Returns whether a body may send its next bytes at `now`. A body without a permit gets one if
     /// it is the first that waits and few enough send.
-    pub fn ask(&mut self, id: TransferId, now: Duration) -> TransferTurn {
+    pub fn request_permit(&mut self, id: TransferId, now: Duration) -> TransferPermit {
         self.revoke_stalled(now);
-        let Some(transfer) = self.open.get(id) else { return TransferTurn::Go };
+        let Some(transfer) = self.open.get(id) else { return TransferPermit::Granted };
         let has_permit = transfer.sent_at.is_some();
         let is_next = self.waiting.front().is_none_or(|first| *first == id);
         if has_permit || (is_next && self.sending_count() < MAX_SENDING) {
@@ -77,32 +77,28 @@
                 let began_at = transfer.began_at.or(Some(now));
                 *transfer = OpenTransfer { sent_at: Some(now), offered_at: None, began_at };
             }
-            return TransferTurn::Go;
+            return TransferPermit::Granted;
         }
         if !self.waiting.contains(&id) {
             self.waiting.push_back(id);
         }
-        TransferTurn::Wait(STALL_TIMEOUT)
+        TransferPermit::Wait(STALL_TIMEOUT)
     }
 
     /// Records how long a body took that has crossed the link whole.
-    pub fn note_whole(&mut self, id: TransferId, now: Duration) {
+    pub fn record_completed(&mut self, id: TransferId, now: Duration) {
         if let Some(began_at) = self.open.get(id).and_then(|transfer| transfer.began_at) {
             self.transfer_time.add(now.saturating_sub(began_at), now);
         }
     }
 
     /// Returns what the link carries before a body that comes now.
-    pub fn ahead(&self, now: Duration) -> LinkAhead {
+    pub fn backlog(&self, now: Duration) -> LinkBacklog {
         let transfer_time = self.transfer_time.expected(now);
         // Bounded by the requests that a guard takes at once.
-        let coming = self.open.len() as u32;
-        let before = (coming + 1).saturating_sub(MAX_SENDING as u32);
-        LinkAhead {
-            wait: transfer_time * before / MAX_SENDING as u32,
-            takes: transfer_time,
-            coming,
-        }
+        let pending = self.open.len() as u32;
+        let before = (pending + 1).saturating_sub(MAX_SENDING as u32);
+        LinkBacklog { wait: transfer_time * before / MAX_SENDING as u32, transfer_time, pending }
     }
 
     /// Ends a body, whether it was sent whole or its receiver left.
@@ -119,7 +115,7 @@
     }
 
     /// Returns how many bodies wait for a permit.
-    pub fn held_back(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         self.waiting.len()
     }
 
--- a/components/decide/src/trip.rs
+++ b/components/decide/src/transit_time.rs
@@ -56,16 +56,16 @@
 
 /// Offsets of the other daemons' clocks.
 #[derive(Clone, Debug, Default)]
-pub struct TripClocks {
+pub struct TransitClocks {
     offsets: HashMap<ClockId, ClockOffset>,
 }
 
-impl TripClocks {
+impl TransitClocks {
     /// Records a message that left at `sent_at` by its sender's clock and arrived at `now` by this
     /// one's, and returns how much longer it was in transit than the fastest one. Both clocks have
     /// to go on while an instance is suspended, or its messages would count as late by that time
     /// from then on.
-    pub fn note(&mut self, clock: ClockId, sent_at: Duration, now: Duration) -> Duration {
+    pub fn record_message(&mut self, clock: ClockId, sent_at: Duration, now: Duration) -> Duration {
         let micros = signed_micros(now) - signed_micros(sent_at);
         let first = ClockOffset { micros, seen_at: now, opening: None };
         let offset = self.offset_or_insert(clock, first);
@@ -84,7 +84,7 @@
     ///
     /// The time from its beginning to its acceptance covers three transits at least. It can make
     /// messages look faster than they were, never slower.
-    pub fn note_opening(&mut self, clock: ClockId, opening: LinkOpening, accepted_at: Duration) {
+    pub fn record_opening(&mut self, clock: ClockId, opening: LinkOpening, accepted_at: Duration) {
         let micros = signed_micros(accepted_at) - signed_micros(opening.began);
         let first = ClockOffset { micros, seen_at: accepted_at, opening: Some(opening) };
         self.offset_or_insert(clock, first);
--- a/components/decide/tests/cold_restart.rs
+++ b/components/decide/tests/cold_restart.rs
@@ -14,7 +14,7 @@
     scenario.loads = vec![short_load(0.5 * scenario.capacity(millis(10)), 10)];
     scenario.cold = true;
     let both = scenario.compare();
-    scenario.guard.cold_hold = 0.0;
+    scenario.guard.cold_reserve = 0.0;
     let all_slots = scenario.run(Policy::Guarded);
     assert!(both.guarded.good() > 10.0 * both.naive.good(), "the naive version must fail");
     assert!(both.guarded.good() > all_slots.good(), "withholding slots must help");
--- a/components/decide/tests/guard_bounds.rs
+++ b/components/decide/tests/guard_bounds.rs
@@ -18,7 +18,7 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Offer { is_long: bool, flow: u64, deadline_ms: u64, alone: bool },
+    Offer { is_long: bool, flow: u64, deadline_ms: u64, is_exclusive: bool },
     Finish(usize),
     Cancel(usize),
     Expire,
@@ -28,8 +28,8 @@
 fn any_step() -> impl Strategy<Value = Step> {
     let offer = (any::<bool>(), 0..4_u64, 1..400_u64, prop::bool::weighted(0.1));
     prop_oneof![
-        8 => offer.prop_map(|(is_long, flow, deadline_ms, alone)| {
-            Step::Offer { is_long, flow, deadline_ms, alone }
+        8 => offer.prop_map(|(is_long, flow, deadline_ms, is_exclusive)| {
+            Step::Offer { is_long, flow, deadline_ms, is_exclusive }
         }),
         4 => (0..64_usize).prop_map(Step::Finish),
         2 => (0..64_usize).prop_map(Step::Cancel),
@@ -52,7 +52,10 @@
     fn start(&mut self, ticket: Ticket, now: Duration) {
         let request = &self.offered[&ticket];
         assert!(now <= request.deadline, "started after its deadline");
-        assert!(!request.alone || self.running.is_empty(), "a trial began beside other requests");
+        assert!(
+            !request.is_exclusive || self.running.is_empty(),
+            "a trial began beside other requests"
+        );
         assert!(self.running.insert(ticket), "started twice");
     }
 
@@ -81,7 +84,7 @@
     for (step, wait_ms) in steps {
         now += Duration::from_millis(*wait_ms);
         match *step {
-            Step::Offer { is_long, flow, deadline_ms, alone } => {
+            Step::Offer { is_long, flow, deadline_ms, is_exclusive } => {
                 let class = if is_long { WorkClass::Long } else { WorkClass::Short };
                 let deadline = now + Duration::from_millis(deadline_ms);
                 let flow = FlowKey { team: flow / 2, caller: flow };
@@ -89,11 +92,11 @@
                     class,
                     flow,
                     deadline,
-                    alone,
+                    is_exclusive,
                     goal: None,
                     rank: 0,
                     work: 0,
-                    most_wait: None,
+                    max_wait: None,
                 };
                 let admission = guard.offer(&request, now, &mut rng);
                 let is_refused = matches!(admission, Admission::Refused(_));
@@ -109,7 +112,8 @@
                     }
                     Admission::Refused(refusal) => {
                         assert!(
-                            refusal.retry_after <= settings.retry_least + settings.retry_spread
+                            refusal.retry_after
+                                <= settings.retry_after_min + settings.retry_after_window
                         );
                     }
                 }
--- a/components/decide/tests/link_limit.rs
+++ b/components/decide/tests/link_limit.rs
@@ -8,7 +8,7 @@
 use sk_decide::admitting::{
     Admission, AdmissionGuard, FlowKey, GuardRequest, GuardSettings, QueueOrder, Released, Ticket,
 };
-use sk_decide::transferring::{TransferId, TransferQueue, TransferTurn};
+use sk_decide::transfer_queue::{TransferId, TransferPermit, TransferQueue};
 
 const GOAL_MS: u64 = 800;
 const WORK_MS: u64 = 180;
@@ -37,11 +37,11 @@
         class: WorkClass::Long,
         flow: FlowKey { team: 1, caller: 1 },
         deadline: at(now + 4_000),
-        alone: false,
+        is_exclusive: false,
         goal: Some(at(now + GOAL_MS)),
         rank: 2,
         work: 1,
-        most_wait: None,
+        max_wait: None,
     }
 }
 
@@ -74,7 +74,7 @@
         for (ticket, document) in &mut open {
             if now >= document.ready_at {
                 let id = *document.transfer.get_or_insert_with(|| queue.begin());
-                if queue.ask(id, time) == TransferTurn::Go {
+                if queue.request_permit(id, time) == TransferPermit::Granted {
                     sending.push(*ticket);
                 }
             }
@@ -97,7 +97,7 @@
             begin(&mut guard.finish(ticket, time), now, &came, &mut open, &mut result);
         }
         if informs_guard {
-            let mut released = guard.set_held_back(queue.held_back(), time);
+            let mut released = guard.set_waiting_answers(queue.waiting_count(), time);
             begin(&mut released, now, &came, &mut open, &mut result);
         }
     }
--- a/components/decide/tests/link_permits.rs
+++ b/components/decide/tests/link_permits.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use expect_test::expect;
-use sk_decide::transferring::{TransferId, TransferQueue, TransferTurn};
+use sk_decide::transfer_queue::{TransferId, TransferPermit, TransferQueue};
 
 /// Bytes that the link carries in a millisecond: 18 Mbit/s.
 const LINK: u64 = 2_300;
@@ -47,7 +47,10 @@
         for (index, document) in &open {
             // A stalled receiver has taken its first window, and its document asks no more.
             let asks = !document.is_stalled || document.left > DOCUMENT - WINDOW;
-            if asks && (!has_permits || queue.ask(document.id, time) == TransferTurn::Go) {
+            if asks
+                && (!has_permits
+                    || queue.request_permit(document.id, time) == TransferPermit::Granted)
+            {
                 sending.push(*index);
             }
         }
--- a/components/decide/tests/model/mod.rs
+++ b/components/decide/tests/model/mod.rs
@@ -257,7 +257,7 @@
             bytes: 0,
             exclude: &call.tried,
             may_probe: true,
-            wants_slot: false,
+            needs_free_slot: false,
             goal: None,
         };
         let table = &self.daemons[index % DAEMONS].0;
@@ -276,11 +276,11 @@
             class: load.class,
             flow,
             deadline,
-            alone: false,
+            is_exclusive: false,
             goal: None,
             rank: 0,
             work: 0,
-            most_wait: None,
+            max_wait: None,
         };
         match self.servers[server].guard.offer(&request, now, &mut self.rng) {
             Admission::Run(ticket) => {
@@ -364,7 +364,7 @@
     /// Ends the placed call and passes on the load that the guard reports with its answer.
     fn settle(&mut self, server: usize, index: usize, outcome: CallOutcome) {
         let load = self.servers[server].guard.load(self.now);
-        self.daemons[index % DAEMONS].0.hint(server as u64, load, self.now);
+        self.daemons[index % DAEMONS].0.record_load(server as u64, load, self.now);
         let latency = self.now - self.calls[index].started;
         if let Some(placed) = self.calls[index].placed.take() {
             placed.finish(outcome, latency, self.now);
@@ -376,7 +376,7 @@
             outcome: RunOutcome::NotRun,
             is_repeatable: false,
             own_retries: self.calls[index].tries,
-            moves: 0,
+            own_free_moves: 0,
             retried_above: 0,
             remaining: self.deadline(index).saturating_sub(self.now),
             expected: self.load_of(index).service,
@@ -387,7 +387,7 @@
                 self.calls[index].tries += 1;
                 self.push(self.now + delay, Event::Attempt(index));
             }
-            RetryVerdict::Move => unreachable!("the model's settings have no free moves"),
+            RetryVerdict::FreeMove => unreachable!("the model's settings have no free moves"),
             RetryVerdict::GiveUp(_) => self.end(index, false),
         }
     }
--- a/components/decide/tests/own_data_centre.rs
+++ b/components/decide/tests/own_data_centre.rs
@@ -46,14 +46,15 @@
         bytes,
         exclude: &[],
         may_probe: true,
-        wants_slot: true,
+        needs_free_slot: true,
         goal: Some(millis(goal)),
     }
 }
 
 fn train(table: &Arc<PlacementTable>, id: u64, work: u64, took: u64, now: Duration) {
     let exclude = [1 - id];
-    let request = PlaceRequest { exclude: &exclude, wants_slot: false, ..attempt(work, 0, 100) };
+    let request =
+        PlaceRequest { exclude: &exclude, needs_free_slot: false, ..attempt(work, 0, 100) };
     for _ in 0..8 {
         let mut rng = StdRng::seed_from_u64(1);
         let placed = table.choose(&request, now, &mut rng).expect("the one that is left");
@@ -90,7 +91,7 @@
     for id in [NEAR, FAR] {
         train(&table, id, UPLOAD, 72, now);
     }
-    table.note_wait(NEAR, millis(40), now);
+    table.record_wait(NEAR, millis(40), now);
     assert_eq!(place(&table, &attempt(UPLOAD, 60_000, 300), now), NEAR);
     assert_eq!(place(&table, &attempt(UPLOAD, 1_000, 300), now), FAR);
     // Bytes are not worth a missed goal.
@@ -106,15 +107,15 @@
     let mut guard = AdmissionGuard::new(settings, Duration::ZERO);
     let mut rng = StdRng::seed_from_u64(1);
     let now = Duration::from_secs(5);
-    let request = |rank: u8, most_wait: Option<Duration>| GuardRequest {
+    let request = |rank: u8, max_wait: Option<Duration>| GuardRequest {
         class: WorkClass::Short,
         flow: FlowKey { team: 1, caller: 1 },
         deadline: now + millis(500),
-        alone: false,
+        is_exclusive: false,
         goal: Some(now + millis(200)),
         rank,
         work: 1,
-        most_wait,
+        max_wait,
     };
     assert!(matches!(guard.offer(&request(1, None), now, &mut rng), Admission::Run(_)));
     let brief = request(2, Some(millis(20)));
@@ -139,7 +140,7 @@
             let outcome = if index % 2 == 0 { CallOutcome::Success } else { CallOutcome::Failure };
             let exclude = [1 - id];
             let request =
-                PlaceRequest { exclude: &exclude, wants_slot: false, ..attempt(1, 0, 300) };
+                PlaceRequest { exclude: &exclude, needs_free_slot: false, ..attempt(1, 0, 300) };
             let placed = table.choose(&request, now, &mut StdRng::seed_from_u64(3));
             placed.expect("the one that is left").finish(outcome, millis(60), now);
         }
--- a/components/decide/tests/pacing_storm.rs
+++ b/components/decide/tests/pacing_storm.rs
@@ -6,7 +6,7 @@
 use expect_test::expect;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
-use sk_decide::deadline::{CallContext, DescendError, HOP_LIMIT};
+use sk_decide::deadline::{CallContext, HOP_LIMIT, NextHopError};
 use sk_decide::fetch_gate::{FetchGate, GateSettings, GateVerdict};
 use sk_decide::pacing::{ConnectPacer, ConnectVerdict, PacerSettings};
 
@@ -22,7 +22,7 @@
     let mut opened = Vec::new();
     for step in 0..100_000 {
         let now = micros(step);
-        match pacer.ask(now) {
+        match pacer.request_connection(now) {
             ConnectVerdict::Open => opened.push(now),
             ConnectVerdict::Wait(wait) => assert!(wait <= micros(1000)),
             ConnectVerdict::Full => assert_eq!(pacer.open_count(), 20),
@@ -30,8 +30,8 @@
     }
     assert_eq!(opened.len(), 20);
     assert!(opened.windows(2).all(|pair| pair[1] - pair[0] >= micros(1000)));
-    pacer.closed();
-    assert_eq!(pacer.ask(micros(100_000)), ConnectVerdict::Open);
+    pacer.record_closed();
+    assert_eq!(pacer.request_connection(micros(100_000)), ConnectVerdict::Open);
 }
 
 /// All daemons return at once and fetch the whole configuration. The gate limits how many are
@@ -84,22 +84,22 @@
 /// deadline, and a few such calls fill every slot that they pass.
 #[test]
 fn routing_loop() {
-    let mut context = CallContext::fresh(Duration::from_secs(10));
+    let mut context = CallContext::new(Duration::from_secs(10));
     for _ in 0..HOP_LIMIT {
-        context = context.descend(Duration::from_millis(1), 0).expect("within the bound");
+        context = context.next_hop(Duration::from_millis(1), 0).expect("within the bound");
     }
     assert_eq!(context.remaining, Duration::from_millis(10_000 - 2 * u64::from(HOP_LIMIT)));
-    assert_eq!(context.descend(Duration::ZERO, 0), Err(DescendError::HopLimit(HOP_LIMIT)));
+    assert_eq!(context.next_hop(Duration::ZERO, 0), Err(NextHopError::HopLimit(HOP_LIMIT)));
 }
 
 /// A call arrives with hardly any time left. Sent on, it would occupy a slot for an answer that its
 /// caller no longer waits for.
 #[test]
 fn spent_deadline() {
-    let context = CallContext::fresh(Duration::from_secs(10)).bounded_by(Duration::from_millis(5));
-    assert!(context.descend(Duration::from_millis(1), 0).is_ok());
-    let spent = context.descend(Duration::from_millis(4), 0);
-    assert_eq!(spent, Err(DescendError::Expired(Duration::ZERO)));
-    let retry = context.descend(Duration::ZERO, 2).expect("time is left");
+    let context = CallContext::new(Duration::from_secs(10)).limited_to(Duration::from_millis(5));
+    assert!(context.next_hop(Duration::from_millis(1), 0).is_ok());
+    let spent = context.next_hop(Duration::from_millis(4), 0);
+    assert_eq!(spent, Err(NextHopError::Expired(Duration::ZERO)));
+    let retry = context.next_hop(Duration::ZERO, 2).expect("time is left");
     assert_eq!(retry.retried_above, 2);
 }
--- a/components/decide/tests/placing_rules.rs
+++ b/components/decide/tests/placing_rules.rs
@@ -18,7 +18,7 @@
     bytes: 0,
     exclude: &[],
     may_probe: true,
-    wants_slot: false,
+    needs_free_slot: false,
     goal: None,
 };
 
@@ -167,9 +167,9 @@
 fn load_hints() {
     let now = seconds(1);
     let table = table(&[record(0), record(1)], now);
-    table.hint(0, 0.0, now);
+    table.record_load(0, 0.0, now);
     assert!((1300..1700).contains(&distribution(&table, 3000, now)[0]), "idle gains nothing");
-    table.hint(0, 1.0, now);
+    table.record_load(0, 1.0, now);
     let full = distribution(&table, 3000, now)[0];
     assert!((150..450).contains(&full), "full keeps a tenth: {full} of 3000");
     assert!((1300..1700).contains(&distribution(&table, 3000, now + seconds(2))[0]), "expired");
--- a/components/decide/tests/quarantine_merge.rs
+++ b/components/decide/tests/quarantine_merge.rs
@@ -9,15 +9,15 @@
 
 #[derive(Clone, Debug)]
 enum HistoryEvent {
-    Crash { occasion: u64, in_flight: Vec<u64>, is_trial: bool },
+    Crash { crash_id: u64, in_flight: Vec<u64>, is_trial: bool },
     Success { fingerprint: u64, at: u64 },
 }
 
 fn any_history() -> impl Strategy<Value = Vec<HistoryEvent>> {
     let crash = (0..10_u64, prop::collection::vec(0..5_u64, 1..4), any::<bool>());
     let event = prop_oneof![
-        crash.prop_map(|(occasion, in_flight, is_trial)| HistoryEvent::Crash {
-            occasion,
+        crash.prop_map(|(crash_id, in_flight, is_trial)| HistoryEvent::Crash {
+            crash_id,
             in_flight,
             is_trial
         }),
@@ -31,10 +31,10 @@
     let mut table = QuarantineTable::new(QuarantineSettings::default());
     for event in history {
         match event {
-            HistoryEvent::Crash { occasion, in_flight, is_trial } => {
+            HistoryEvent::Crash { crash_id, in_flight, is_trial } => {
                 table.record_crash(&CrashReport {
-                    occasion: *occasion,
-                    at: Duration::from_secs(*occasion),
+                    crash_id: *crash_id,
+                    at: Duration::from_secs(*crash_id),
                     in_flight,
                     is_trial: *is_trial,
                 });
--- a/components/decide/tests/quarantine_trials.rs
+++ b/components/decide/tests/quarantine_trials.rs
@@ -17,9 +17,9 @@
     QuarantineTable::new(QuarantineSettings::default())
 }
 
-fn crash(table: &mut QuarantineTable, occasion: u64, in_flight: &[Fingerprint], is_trial: bool) {
-    let at = seconds(occasion);
-    table.record_crash(&CrashReport { occasion, at, in_flight, is_trial });
+fn crash(table: &mut QuarantineTable, crash_id: u64, in_flight: &[Fingerprint], is_trial: bool) {
+    let at = seconds(crash_id);
+    table.record_crash(&CrashReport { crash_id, at, in_flight, is_trial });
 }
 
 /// Refuses requests that were in flight at two crashes, as a plain count does.
@@ -41,14 +41,14 @@
 #[test]
 fn second_crash() {
     let mut table = new_table();
-    assert_eq!(table.judge(POISON, seconds(0)), QuarantineVerdict::Clear);
+    assert_eq!(table.classify(POISON, seconds(0)), QuarantineVerdict::Clear);
     crash(&mut table, 1, &[POISON, 1, 2], false);
-    assert_eq!(table.judge(POISON, seconds(2)), QuarantineVerdict::TryAlone);
+    assert_eq!(table.classify(POISON, seconds(2)), QuarantineVerdict::RunAlone);
     crash(&mut table, 3, &[POISON], true);
-    let refusal_time = QuarantineSettings::default().hold;
-    assert_eq!(table.judge(POISON, seconds(3)), QuarantineVerdict::Refused(refusal_time));
+    let refusal_time = QuarantineSettings::default().refusal_time;
+    assert_eq!(table.classify(POISON, seconds(3)), QuarantineVerdict::Refused(refusal_time));
     let later = seconds(3) + refusal_time;
-    assert_eq!(table.judge(POISON, later), QuarantineVerdict::TryAlone);
+    assert_eq!(table.classify(POISON, later), QuarantineVerdict::RunAlone);
     table.expire(later + QuarantineSettings::default().evidence_life);
     assert!(table.is_empty());
 }
@@ -59,22 +59,22 @@
 #[test]
 fn innocent_requests() {
     let (mut table, mut naive) = (new_table(), NaiveCount::default());
-    for occasion in 1..6 {
-        let in_flight = [POISON, 1, 2, 100 + occasion, 200 + occasion];
-        crash(&mut table, occasion, &in_flight, false);
+    for crash_id in 1..6 {
+        let in_flight = [POISON, 1, 2, 100 + crash_id, 200 + crash_id];
+        crash(&mut table, crash_id, &in_flight, false);
         naive.crash(&in_flight);
     }
     for innocent in [1, 2, 101, 203] {
-        let verdict = table.judge(innocent, seconds(6));
-        assert_eq!(verdict, QuarantineVerdict::TryAlone, "a suspect, not refused");
+        let verdict = table.classify(innocent, seconds(6));
+        assert_eq!(verdict, QuarantineVerdict::RunAlone, "a suspect, not refused");
     }
     assert!(naive.refuses(1) && naive.refuses(2), "the naive version refuses innocent requests");
     // The trial of an innocent request succeeds; that of the crashing one convicts it.
     table.record_success(1, seconds(7));
-    assert_eq!(table.judge(1, seconds(7)), QuarantineVerdict::Clear);
+    assert_eq!(table.classify(1, seconds(7)), QuarantineVerdict::Clear);
     crash(&mut table, 8, &[POISON, POISON], true);
-    assert!(matches!(table.judge(POISON, seconds(9)), QuarantineVerdict::Refused(_)));
-    assert_eq!(table.judge(2, seconds(9)), QuarantineVerdict::TryAlone);
+    assert!(matches!(table.classify(POISON, seconds(9)), QuarantineVerdict::Refused(_)));
+    assert_eq!(table.classify(2, seconds(9)), QuarantineVerdict::RunAlone);
 }
 
 /// A frequent request was in flight at a crash elsewhere. Each of its copies would have to wait for
@@ -85,14 +85,14 @@
     crash(&mut there, 5, &[POISON, 1], false);
     here.record_success(1, seconds(4));
     here.merge(&there.export());
-    assert_eq!(here.judge(1, seconds(6)), QuarantineVerdict::TryAlone, "succeeded before only");
+    assert_eq!(here.classify(1, seconds(6)), QuarantineVerdict::RunAlone, "succeeded before only");
     here.record_success(1, seconds(6));
-    assert_eq!(here.judge(1, seconds(6)), QuarantineVerdict::Clear);
+    assert_eq!(here.classify(1, seconds(6)), QuarantineVerdict::Clear);
     there.merge(&here.export());
-    assert_eq!(there.judge(1, seconds(6)), QuarantineVerdict::Clear, "cleared there too");
+    assert_eq!(there.classify(1, seconds(6)), QuarantineVerdict::Clear, "cleared there too");
     // Data that crashes the server may come later, so a success clears of earlier crashes only.
     crash(&mut here, 9, &[POISON, 1], false);
-    assert_eq!(here.judge(1, seconds(9)), QuarantineVerdict::TryAlone);
+    assert_eq!(here.classify(1, seconds(9)), QuarantineVerdict::RunAlone);
 }
 
 /// Two crashes with nothing else in flight, the second before its daemon knew of the first. They
@@ -101,9 +101,9 @@
 fn alone_twice() {
     let mut table = new_table();
     crash(&mut table, 1, &[POISON], false);
-    assert_eq!(table.judge(POISON, seconds(1)), QuarantineVerdict::TryAlone);
+    assert_eq!(table.classify(POISON, seconds(1)), QuarantineVerdict::RunAlone);
     crash(&mut table, 2, &[POISON], false);
-    assert!(matches!(table.judge(POISON, seconds(2)), QuarantineVerdict::Refused(_)));
+    assert!(matches!(table.classify(POISON, seconds(2)), QuarantineVerdict::Refused(_)));
 }
 
 /// Many crashes must not fill the daemon's memory. The oldest are dropped first.
@@ -111,10 +111,10 @@
 fn bounded_table() {
     let settings = QuarantineSettings { capacity: 8, ..QuarantineSettings::default() };
     let mut table = QuarantineTable::new(settings);
-    for occasion in 0..100 {
-        crash(&mut table, occasion, &[1000 + occasion, 2000 + occasion], false);
+    for crash_id in 0..100 {
+        crash(&mut table, crash_id, &[1000 + crash_id, 2000 + crash_id], false);
         assert!(table.len() <= 8);
     }
-    assert_eq!(table.judge(1099, seconds(100)), QuarantineVerdict::TryAlone);
-    assert_eq!(table.judge(1000, seconds(100)), QuarantineVerdict::Clear);
+    assert_eq!(table.classify(1099, seconds(100)), QuarantineVerdict::RunAlone);
+    assert_eq!(table.classify(1000, seconds(100)), QuarantineVerdict::Clear);
 }
--- a/components/decide/tests/retry_storm.rs
+++ b/components/decide/tests/retry_storm.rs
@@ -42,7 +42,7 @@
         outcome: RunOutcome::Ran,
         is_repeatable: true,
         own_retries,
-        moves: 0,
+        own_free_moves: 0,
         retried_above: context.retried_above,
         remaining: context.remaining,
         expected: Duration::ZERO,
@@ -57,11 +57,11 @@
     budget.record_attempt();
     let (mut sends, mut retries) = (0, 0);
     loop {
-        let next = context.descend(Duration::ZERO, retries).expect("within the hop bound");
+        let next = context.next_hop(Duration::ZERO, retries).expect("within the hop bound");
         sends += sends_below(&next, below, rng);
         match may_retry(&failed(context, retries), budget, now, rng) {
             RetryVerdict::Retry(_) => retries += 1,
-            RetryVerdict::Move => panic!("every attempt draws on the budget by default"),
+            RetryVerdict::FreeMove => panic!("every attempt draws on the budget by default"),
             RetryVerdict::GiveUp(_) => return sends,
         }
     }
@@ -72,7 +72,7 @@
 #[test]
 fn nested_storm() {
     let mut rng = StdRng::seed_from_u64(3);
-    let context = CallContext::fresh(Duration::from_secs(60));
+    let context = CallContext::new(Duration::from_secs(60));
     let full = RetrySettings { cap: 1_000_000_000, ..RetrySettings::default() };
     let unbounded: Vec<_> = (0..7).map(|_| RetryBudget::new(full, Duration::ZERO)).collect();
     let one = sends_below(&context, &unbounded, &mut rng);
@@ -105,7 +105,7 @@
     let budgets: Vec<_> =
         (0..DAEMONS).map(|_| RetryBudget::new(settings, Duration::ZERO)).collect();
     budgets.iter().for_each(|budget| budget.set_fleet(DAEMONS));
-    let context = CallContext::fresh(Duration::from_secs(5));
+    let context = CallContext::new(Duration::from_secs(5));
     let mut granted = 0;
     for budget in &budgets {
         (0..ATTEMPTS).for_each(|_| budget.record_attempt());
@@ -126,7 +126,7 @@
     let mut rng = StdRng::seed_from_u64(3);
     let first = FailedAttempt {
         is_repeatable: false,
-        ..failed(&CallContext::fresh(Duration::from_secs(1)), 0)
+        ..failed(&CallContext::new(Duration::from_secs(1)), 0)
     };
     let not_run = FailedAttempt { outcome: RunOutcome::NotRun, ..first };
     let unknown = FailedAttempt { outcome: RunOutcome::Unknown, ..first };
@@ -138,7 +138,7 @@
         &mut rng,
     ) {
         RetryVerdict::Retry(delay) => assert!(wanted.is_none() && delay <= millis(20)),
-        RetryVerdict::Move => panic!("every attempt draws on the budget by default"),
+        RetryVerdict::FreeMove => panic!("every attempt draws on the budget by default"),
         RetryVerdict::GiveUp(reason) => assert_eq!(Some(reason), wanted),
     };
     check(first, Some(GiveUpReason::MayHaveRun));
@@ -146,10 +146,10 @@
     check(not_run, None);
     check(FailedAttempt { is_repeatable: true, ..unknown }, None);
     check(FailedAttempt { retried_above: 1, ..not_run }, Some(GiveUpReason::RetriedAbove));
-    check(FailedAttempt { own_retries: 2, ..not_run }, Some(GiveUpReason::RetriesSpent));
+    check(FailedAttempt { own_retries: 2, ..not_run }, Some(GiveUpReason::RetryLimitReached));
     check(short, Some(GiveUpReason::DeadlineTooNear));
     while budget.take(Duration::ZERO) {}
-    check(not_run, Some(GiveUpReason::BudgetSpent));
+    check(not_run, Some(GiveUpReason::RetryBudgetEmpty));
 }
 
 proptest! {
--- a/components/decide/tests/search_limits.rs
+++ b/components/decide/tests/search_limits.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sk_decide::{placing::PlacementOrder, seeking::SlotSearch};
+use sk_decide::{placing::PlacementOrder, slot_search::SlotSearch};
 
 const GOAL: Option<Duration> = Some(Duration::from_millis(600));
 
@@ -10,8 +10,8 @@
 fn attempts(took: Duration, goal: Option<Duration>) -> u64 {
     let mut search = SlotSearch::default();
     let mut attempts = 0;
-    while search.wants_slot(PlacementOrder::Soonest, false) {
-        search.note_busy(attempts, took, goal);
+    while search.needs_free_slot(PlacementOrder::Soonest, false) {
+        search.exclude_busy(attempts, took, goal);
         attempts += 1;
     }
     attempts
@@ -44,8 +44,8 @@
 #[test]
 fn refused_while_queueing() {
     let mut search = SlotSearch::default();
-    search.note_busy(1, Duration::from_millis(30), GOAL);
-    assert!(!search.is_long(GOAL));
-    search.note_refused(Duration::from_millis(50));
-    assert!(search.is_long(GOAL));
+    search.exclude_busy(1, Duration::from_millis(30), GOAL);
+    assert!(!search.has_refused_too_long(GOAL));
+    search.add_refusal_time(Duration::from_millis(50));
+    assert!(search.has_refused_too_long(GOAL));
 }
--- a/components/decide/tests/soonest_answer.rs
+++ b/components/decide/tests/soonest_answer.rs
@@ -40,7 +40,7 @@
     bytes: 0,
     exclude: &[],
     may_probe: true,
-    wants_slot: true,
+    needs_free_slot: true,
     goal: Some(GOAL),
 };
 
@@ -53,7 +53,7 @@
     now: Duration,
 ) {
     let others: Vec<u64> = (0..table.len() as u64).filter(|other| *other != id).collect();
-    let request = PlaceRequest { exclude: &others, wants_slot: false, ..ANY };
+    let request = PlaceRequest { exclude: &others, needs_free_slot: false, ..ANY };
     let mut rng = StdRng::seed_from_u64(1);
     let placed = table.choose(&request, now, &mut rng).expect("the one that is left");
     placed.finish(outcome, took, now);
@@ -83,7 +83,7 @@
     assert_eq!(count(&table, &ANY, now), [100, 0, 0]);
     // It reports that it has no free slot: the next best is tried, and no request waits for the
     // first.
-    table.note_wait(0, millis(80), now);
+    table.record_wait(0, millis(80), now);
     assert_eq!(count(&table, &ANY, now), [0, 100, 0]);
     // The report counts until the wait is over.
     assert_eq!(count(&table, &ANY, now + millis(90)), [100, 0, 0]);
@@ -97,10 +97,10 @@
     let now = Duration::from_secs(5);
     for (id, took, wait) in [(0, 150, 400), (1, 250, 50)] {
         (0..8).for_each(|_| train(&table, id, CallOutcome::Success, millis(took), now));
-        table.note_wait(id, millis(wait), now);
+        table.record_wait(id, millis(wait), now);
     }
     assert_eq!(count(&table, &ANY, now), [0, 0], "none is free");
-    let queueing = PlaceRequest { wants_slot: false, ..ANY };
+    let queueing = PlaceRequest { needs_free_slot: false, ..ANY };
     assert_eq!(count(&table, &queueing, now), [0, 100]);
 }
 
@@ -143,7 +143,7 @@
     for (id, took) in [(0, 100), (1, 200)] {
         (0..8).for_each(|_| train(&table, id, CallOutcome::Success, millis(took), now));
     }
-    table.note_failing(0, 0.4, now);
+    table.record_failure_rate(0, 0.4, now);
     assert_eq!(count(&table, &ANY, now), [0, 100]);
     assert_eq!(count(&table, &ANY, now + Duration::from_secs(10)), [100, 0]);
 }
@@ -157,19 +157,19 @@
     let now = Duration::from_secs(5);
     (0..8).for_each(|_| train(&table, 0, CallOutcome::Success, millis(200), now));
     (0..8).for_each(|_| train(&table, 1, CallOutcome::Failure, millis(2), now));
-    table.note_wait(0, millis(150), now);
+    table.record_wait(0, millis(150), now);
     assert_eq!(count(&table, &ANY, now), [0, 0], "the only free slot is at a failing server");
-    let queueing = PlaceRequest { wants_slot: false, ..ANY };
+    let queueing = PlaceRequest { needs_free_slot: false, ..ANY };
     assert_eq!(count(&table, &queueing, now), [100, 0], "they wait at the one that works");
 }
 
 /// Ends a request at a given endpoint whose answer spent a time in transit.
 fn train_transit(table: &Arc<PlacementTable>, id: u64, transit: Duration, now: Duration) {
     let others: Vec<u64> = (0..table.len() as u64).filter(|other| *other != id).collect();
-    let request = PlaceRequest { exclude: &others, wants_slot: false, ..ANY };
+    let request = PlaceRequest { exclude: &others, needs_free_slot: false, ..ANY };
     let mut rng = StdRng::seed_from_u64(1);
     let mut placed = table.choose(&request, now, &mut rng).expect("the one that is left");
-    placed.note_head(Some(transit), now);
+    placed.record_head(Some(transit), now);
     placed.finish(CallOutcome::Success, millis(150), now);
 }
 
@@ -201,12 +201,12 @@
         (0..4).for_each(|_| train_transit(&table, id, millis(2), now));
     }
     let mut rng = StdRng::seed_from_u64(1);
-    let near = PlaceRequest { exclude: &[1], wants_slot: false, ..ANY };
+    let near = PlaceRequest { exclude: &[1], needs_free_slot: false, ..ANY };
     let mut open = table.choose(&near, now, &mut rng).expect("the near one");
     assert_eq!(count(&table, &ANY, now + millis(100)), [100, 0], "long work alone proves nothing");
     let silent = now + millis(1_300);
     assert_eq!(count(&table, &ANY, silent), [0, 100]);
-    open.note_head(Some(millis(2)), silent);
+    open.record_head(Some(millis(2)), silent);
     assert_eq!(count(&table, &ANY, silent), [100, 0], "an answer shows that messages get through");
 }
 
@@ -217,7 +217,7 @@
 fn late_documents() {
     let table = table(&[EndpointDistance::SameCentre, EndpointDistance::SameRegion]);
     let now = Duration::from_secs(5);
-    let long = PlaceRequest { class: WorkClass::Long, work: 2, wants_slot: false, ..ANY };
+    let long = PlaceRequest { class: WorkClass::Long, work: 2, needs_free_slot: false, ..ANY };
     for (id, took) in [(0, 1_400), (1, 900)] {
         for _ in 0..8 {
             let others = [1 - id];
@@ -232,6 +232,6 @@
         (0..8).for_each(|_| train(&table, id, CallOutcome::Success, millis(took), now));
     }
     assert_eq!(count(&table, &short, now), [0, 100], "short answers are cheap");
-    table.note_wait(0, millis(1_000), now);
+    table.record_wait(0, millis(1_000), now);
     assert_eq!(count(&table, &long, now), [0, 100]);
 }
--- a/components/decide/tests/transit_times.rs
+++ b/components/decide/tests/transit_times.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sk_decide::trip::{LinkOpening, TripClocks};
+use sk_decide::transit_time::{LinkOpening, TransitClocks};
 
 const CLOCK: u64 = 7;
 
@@ -16,12 +16,16 @@
 #[test]
 fn full_link() {
     let hour = Duration::from_secs(3600);
-    let mut clocks = TripClocks::default();
-    assert_eq!(clocks.note(CLOCK, hour, millis(5)), Duration::ZERO, "the first one known");
-    assert_eq!(clocks.note(CLOCK, hour + millis(100), millis(103)), Duration::ZERO);
-    let late = clocks.note(CLOCK, hour + millis(200), millis(803));
+    let mut clocks = TransitClocks::default();
+    assert_eq!(
+        clocks.record_message(CLOCK, hour, millis(5)),
+        Duration::ZERO,
+        "the first one known"
+    );
+    assert_eq!(clocks.record_message(CLOCK, hour + millis(100), millis(103)), Duration::ZERO);
+    let late = clocks.record_message(CLOCK, hour + millis(200), millis(803));
     assert!(late >= millis(599) && late <= millis(600), "{late:?}");
-    let late = clocks.note(CLOCK, hour + millis(900), millis(904));
+    let late = clocks.record_message(CLOCK, hour + millis(900), millis(904));
     assert!(late <= millis(1), "the link is free again: {late:?}");
 }
 
@@ -29,19 +33,19 @@
 /// must not count as late by the difference of the two clocks.
 #[test]
 fn other_process() {
-    let mut clocks = TripClocks::default();
-    let _ = clocks.note(CLOCK, millis(500_000), millis(1000));
-    assert_eq!(clocks.note(CLOCK + 1, millis(10), millis(2000)), Duration::ZERO);
+    let mut clocks = TransitClocks::default();
+    let _ = clocks.record_message(CLOCK, millis(500_000), millis(1000));
+    assert_eq!(clocks.record_message(CLOCK + 1, millis(10), millis(2000)), Duration::ZERO);
 }
 
 /// Two clocks drift apart by a tenth of a millisecond a second. After an hour without a restart,
 /// calls over a free link would count as late by a third of a second and be refused.
 #[test]
 fn drifting_clocks() {
-    let mut clocks = TripClocks::default();
+    let mut clocks = TransitClocks::default();
     for second in 0..3600_u64 {
         let now = Duration::from_secs(second) + Duration::from_micros(100 * second);
-        let late = clocks.note(CLOCK, Duration::from_secs(second), now);
+        let late = clocks.record_message(CLOCK, Duration::from_secs(second), now);
         assert!(late <= millis(1), "{late:?} after {second} s");
     }
 }
@@ -50,12 +54,12 @@
 /// opening of its connection, over the same link, shows that the message is late.
 #[test]
 fn first_message() {
-    let mut clocks = TripClocks::default();
+    let mut clocks = TransitClocks::default();
     let opening = LinkOpening { began: millis(5_000), took: millis(2) };
-    clocks.note_opening(CLOCK, opening, millis(103));
-    let late = clocks.note(CLOCK, millis(5_002), millis(1_303));
+    clocks.record_opening(CLOCK, opening, millis(103));
+    let late = clocks.record_message(CLOCK, millis(5_002), millis(1_303));
     assert!(late >= millis(1_190) && late <= millis(1_200), "{late:?}");
-    let late = clocks.note(CLOCK, millis(5_900), millis(1_002));
+    let late = clocks.record_message(CLOCK, millis(5_900), millis(1_002));
     assert!(late <= millis(3), "the link is free again: {late:?}");
 }
 
@@ -63,14 +67,14 @@
 /// their connection, which then is no measure of a free link.
 #[test]
 fn slow_opening() {
-    let mut clocks = TripClocks::default();
+    let mut clocks = TransitClocks::default();
     let opening = LinkOpening { began: millis(5_000), took: millis(700) };
-    clocks.note_opening(CLOCK, opening, millis(1_400));
+    clocks.record_opening(CLOCK, opening, millis(1_400));
     for step in 0..5 {
-        let late = clocks.note(CLOCK, millis(5_700 + step), millis(1_400 + step));
+        let late = clocks.record_message(CLOCK, millis(5_700 + step), millis(1_400 + step));
         assert!(late >= millis(700), "{late:?}");
     }
-    let late = clocks.note(CLOCK, millis(7_000), millis(2_010));
+    let late = clocks.record_message(CLOCK, millis(7_000), millis(2_010));
     assert!(late <= millis(1), "the link is free again: {late:?}");
 }
 
@@ -78,9 +82,9 @@
 /// counted against a clock that is known.
 #[test]
 fn second_opening() {
-    let mut clocks = TripClocks::default();
-    let _ = clocks.note(CLOCK, millis(5_000), millis(100));
+    let mut clocks = TransitClocks::default();
+    let _ = clocks.record_message(CLOCK, millis(5_000), millis(100));
     let opening = LinkOpening { began: millis(6_000), took: millis(300) };
-    clocks.note_opening(CLOCK, opening, millis(1_400));
-    assert!(clocks.note(CLOCK, millis(6_300), millis(1_400)) <= millis(1));
+    clocks.record_opening(CLOCK, opening, millis(1_400));
+    assert!(clocks.record_message(CLOCK, millis(6_300), millis(1_400)) <= millis(1));
 }
--- a/components/decide/tests/upload_link.rs
+++ b/components/decide/tests/upload_link.rs
@@ -6,10 +6,10 @@
 use sk_decide::{
     WorkClass,
     admitting::{
-        Admission, AdmissionGuard, FlowKey, GuardRequest, GuardSettings, LinkAhead, QueueOrder,
+        Admission, AdmissionGuard, FlowKey, GuardRequest, GuardSettings, LinkBacklog, QueueOrder,
         RefusalReason, Ticket,
     },
-    transferring::{TransferId, TransferQueue, TransferTurn},
+    transfer_queue::{TransferId, TransferPermit, TransferQueue},
 };
 
 /// Bytes that the link carries in a millisecond: 7 Mbit/s.
@@ -35,11 +35,11 @@
         class: WorkClass::Short,
         flow: FlowKey { team: 1, caller: 1 },
         deadline: came + Duration::from_millis(2_500),
-        alone: false,
+        is_exclusive: false,
         goal: Some(came + Duration::from_millis(GOAL_MS)),
         rank: 0,
         work: 1,
-        most_wait: None,
+        max_wait: None,
     }
 }
 
@@ -99,8 +99,8 @@
     for ms in 1..END_MS {
         let now = Duration::from_millis(ms);
         if ms % PAUSE_MS == 0 {
-            let ahead = queue.ahead(now);
-            if guard.consider_upload(&request(ms), &ahead, now, &mut rng).is_ok() {
+            let backlog = queue.backlog(now);
+            if guard.consider_upload(&request(ms), &backlog, now, &mut rng).is_ok() {
                 let (id, unsent) = (queue.begin(), UPLOAD - WINDOW);
                 coming.push(ComingUpload { id, came: ms, unsent, on_link: WINDOW });
             } else {
@@ -116,7 +116,7 @@
         for upload in &mut coming {
             let carried = upload.on_link.min(carries);
             (upload.on_link, carries) = (upload.on_link - carried, carries - carried);
-            if queue.ask(upload.id, now) == TransferTurn::Go {
+            if queue.request_permit(upload.id, now) == TransferPermit::Granted {
                 let more = (WINDOW - upload.on_link).min(upload.unsent);
                 (upload.on_link, upload.unsent) = (upload.on_link + more, upload.unsent - more);
             }
@@ -124,7 +124,7 @@
         coming.retain(|upload| {
             let is_coming = upload.on_link + upload.unsent > 0;
             if !is_coming {
-                queue.note_whole(upload.id, now);
+                queue.record_completed(upload.id, now);
                 queue.end(upload.id);
                 match guard.offer(&request(upload.came), now, &mut rng) {
                     Admission::Run(ticket) => {
@@ -156,7 +156,7 @@
     assert!(permits.short_ms < 250 && whole.short_ms > 2_000, "{permits:?} {whole:?}");
 }
 
-fn consider(request: &GuardRequest, link: &LinkAhead) -> Result<(), RefusalReason> {
+fn consider(request: &GuardRequest, link: &LinkBacklog) -> Result<(), RefusalReason> {
     let considered = guard().consider_upload(
         request,
         link,
@@ -169,24 +169,25 @@
 /// Guards against uploads that ask for a free slot and wait for the link instead.
 #[test]
 fn busy_link_refused() {
-    let attempt = GuardRequest { most_wait: Some(Duration::ZERO), ..request(1) };
-    let takes = Duration::from_millis(70);
-    let link = LinkAhead { wait: Duration::ZERO, takes, coming: 1 };
+    let attempt = GuardRequest { max_wait: Some(Duration::ZERO), ..request(1) };
+    let transfer_time = Duration::from_millis(70);
+    let link = LinkBacklog { wait: Duration::ZERO, transfer_time, pending: 1 };
     assert_eq!(consider(&attempt, &link), Ok(()));
-    let waits = LinkAhead { wait: takes, ..link };
+    let waits = LinkBacklog { wait: transfer_time, ..link };
     assert_eq!(consider(&attempt, &waits), Err(RefusalReason::Busy));
     assert_eq!(consider(&request(1), &waits), Ok(()));
-    let takes_all_slots = LinkAhead { coming: 9, ..link };
+    let takes_all_slots = LinkBacklog { pending: 9, ..link };
     assert_eq!(consider(&attempt, &takes_all_slots), Err(RefusalReason::Busy));
 }
 
 /// Guards against receiving uploads that cannot be here in time.
 #[test]
 fn too_late() {
-    let takes = Duration::from_millis(70);
-    let past_goal = LinkAhead { wait: Duration::from_millis(950), takes, coming: 20 };
+    let transfer_time = Duration::from_millis(70);
+    let past_goal = LinkBacklog { wait: Duration::from_millis(950), transfer_time, pending: 20 };
     assert_eq!(consider(&request(1), &past_goal), Err(RefusalReason::GoalMissed));
-    let past_deadline = LinkAhead { wait: Duration::from_millis(2_450), takes, coming: 60 };
+    let past_deadline =
+        LinkBacklog { wait: Duration::from_millis(2_450), transfer_time, pending: 60 };
     let refused = consider(&request(1), &past_deadline);
     assert_eq!(refused, Err(RefusalReason::DeadlineTooNear));
 }
--- a/components/decide/tests/urgent_queue.rs
+++ b/components/decide/tests/urgent_queue.rs
@@ -106,15 +106,15 @@
             class: WorkClass::Short,
             flow: FlowKey { team: 1, caller: 1 + kind as u64 },
             deadline: now + millis(figures.deadline),
-            alone: false,
+            is_exclusive: false,
             goal: Some(now + millis(figures.goal)),
             rank: figures.rank,
             work: kind as u64,
-            most_wait: None,
+            max_wait: None,
         };
         self.counts[kind].asked += 1;
-        let room = self.guard.make_room(&request, now);
-        self.deliver(room, now);
+        let evicted = self.guard.evict_less_urgent(&request, now);
+        self.deliver(evicted, now);
         match self.guard.offer(&request, now, &mut self.guard_rng) {
             Admission::Refused(_) => self.counts[kind].refused_at_once += 1,
             Admission::Run(ticket) => {
@@ -230,11 +230,11 @@
         class: WorkClass::Short,
         flow: FlowKey { team: 1, caller: 1 },
         deadline: now + millis(KINDS[kind].deadline),
-        alone: false,
+        is_exclusive: false,
         goal: Some(now + millis(KINDS[kind].goal)),
         rank: KINDS[kind].rank,
         work: kind as u64,
-        most_wait: None,
+        max_wait: None,
     };
     for _ in 0..SLOTS {
         assert!(matches!(guard.offer(&request(1), now, &mut rng), Admission::Run(_)));
@@ -242,10 +242,10 @@
     let waiting: Vec<Admission> = (0..2).map(|_| guard.offer(&request(1), now, &mut rng)).collect();
     assert!(waiting.iter().all(|admission| matches!(admission, Admission::Queued(_))));
     // Another confirmation is not more urgent than those that wait.
-    assert_eq!(guard.make_room(&request(1), now), Released::default());
-    let room = guard.make_room(&request(0), now);
-    assert_eq!(room.refused.len(), 1);
-    assert_eq!(room.refused[0].1, RefusalReason::QueueFull);
+    assert_eq!(guard.evict_less_urgent(&request(1), now), Released::default());
+    let evicted = guard.evict_less_urgent(&request(0), now);
+    assert_eq!(evicted.refused.len(), 1);
+    assert_eq!(evicted.refused[0].1, RefusalReason::QueueFull);
     assert!(matches!(guard.offer(&request(0), now, &mut rng), Admission::Queued(_)));
 }
 
@@ -259,11 +259,11 @@
         class: WorkClass::Short,
         flow: FlowKey { team: 1, caller: 1 },
         deadline: now + millis(2_000),
-        alone: false,
+        is_exclusive: false,
         goal: None,
         rank: 0,
         work: 1,
-        most_wait: Some(Duration::ZERO),
+        max_wait: Some(Duration::ZERO),
     };
     for _ in 0..SLOTS {
         assert!(matches!(guard.offer(&request, now, &mut rng), Admission::Run(_)));
@@ -273,7 +273,7 @@
     };
     assert_eq!(refusal.reason, RefusalReason::Busy);
     assert!(matches!(
-        guard.offer(&GuardRequest { most_wait: None, ..request }, now, &mut rng),
+        guard.offer(&GuardRequest { max_wait: None, ..request }, now, &mut rng),
         Admission::Queued(_)
     ));
 }
--- a/components/lab/src/simulation.rs
+++ b/components/lab/src/simulation.rs
@@ -13,7 +13,7 @@
     admitting::{Admission, FlowKey, GuardRequest, RefusalReason, Released, Ticket},
     backoff::draw_between,
     placing::{CallOutcome, PlaceRequest, PlacedCall},
-    seeking::SlotSearch,
+    slot_search::SlotSearch,
 };
 
 use crate::{
@@ -198,14 +198,14 @@
         let route = &self.scenario.routes[call.route];
         let table = self.daemons[call.daemon][&route.service].clone();
         let exclude = call.search.excluded();
-        let wants_slot = call.search.wants_slot(self.policy.placement.order, false);
+        let needs_free_slot = call.search.needs_free_slot(self.policy.placement.order, false);
         let wanted = PlaceRequest {
             class: WorkClass::Short,
             work: call.route as u64,
             bytes: route.bytes,
             exclude: &exclude,
             may_probe: true,
-            wants_slot,
+            needs_free_slot,
             goal: Some(goal.saturating_sub(self.now)),
         };
         match table.choose(&wanted, self.now, &mut self.rng) {
@@ -217,7 +217,7 @@
                 self.schedule(self.now + transit, SimulationEvent::ReachGuard(index, server));
             }
             Err(_) if self.calls[index].search.begin_queueing() => self.place_call(index),
-            Err(_) => self.end_refused(index, self.policy.guard.retry_least),
+            Err(_) => self.end_refused(index, self.policy.guard.retry_after_min),
         }
     }
 
@@ -246,14 +246,14 @@
             class: WorkClass::Short,
             flow: FlowKey { team: 0, caller: call.daemon as u64 },
             deadline: self.call_deadline(index),
-            alone: false,
+            is_exclusive: false,
             goal: Some(self.goal_end(index)),
             rank: route.rank,
             work: call.route as u64,
-            most_wait: call.placed_call.as_ref().and_then(PlacedCall::most_wait),
+            max_wait: call.placed_call.as_ref().and_then(PlacedCall::max_wait),
         };
         let guard = &mut self.servers[server].guard;
-        let released = guard.make_room(&request, self.now);
+        let released = guard.evict_less_urgent(&request, self.now);
         self.apply_release(server, released);
         let admission = self.servers[server].guard.offer(&request, self.now, &mut self.rng);
         match admission {
@@ -334,9 +334,9 @@
         let wait = self.servers[server].guard.wait_hint(self.now);
         let daemon = self.calls[index].daemon;
         let service = self.servers[server].service.clone();
-        self.daemons[daemon][&service].note_wait(server as u64, wait, self.now);
+        self.daemons[daemon][&service].record_wait(server as u64, wait, self.now);
         let Some(mut placed) = self.calls[index].placed_call.take() else { return };
-        placed.note_head(None, self.now);
+        placed.record_head(None, self.now);
         match refusal {
             None => {
                 let took = self.now.saturating_sub(self.calls[index].work_started);
@@ -346,7 +346,7 @@
             Some(RefusalReason::Busy) => {
                 let call = &mut self.calls[index];
                 let goal = millis(self.scenario.routes[call.route].goal_ms);
-                call.search.note_busy(server as u64, self.now - call.placed_at, Some(goal));
+                call.search.exclude_busy(server as u64, self.now - call.placed_at, Some(goal));
                 self.place_call(index);
             }
             Some(_) => {
@@ -360,13 +360,14 @@
     /// refuses it with a random wait.
     fn try_elsewhere(&mut self, index: CallIndex, server: ServerIndex) {
         let call = &mut self.calls[index];
-        call.search.note_tried(server as u64);
+        call.search.exclude(server as u64);
         if call.free_moves_used < self.policy.free_moves {
             call.free_moves_used += 1;
             return self.place_call(index);
         }
-        let (least, spread) = (self.policy.guard.retry_least, self.policy.guard.retry_spread);
-        let wait = draw_between(least, least + spread, &mut self.rng);
+        let (retry_min, window) =
+            (self.policy.guard.retry_after_min, self.policy.guard.retry_after_window);
+        let wait = draw_between(retry_min, retry_min + window, &mut self.rng);
         self.end_refused(index, wait);
     }
 
--- a/components/lab/tests/short_slots.rs
+++ b/components/lab/tests/short_slots.rs
@@ -3,7 +3,7 @@
 use expect_test::expect;
 use sk_decide::{
     admitting::{GuardSettings, QueueOrder},
-    placing::{PlacementOrder, PlacementSettings, PlacementWeights},
+    placing::{PlacementFactors, PlacementOrder, PlacementSettings},
 };
 use sk_lab::{LabPolicy, Scenario, compare_policies, parse_scenario, run_scenario};
 use std::time::Duration;
@@ -28,8 +28,8 @@
         guard: GuardSettings {
             order: QueueOrder::Urgent,
             short_queue: 48,
-            retry_least: Duration::from_millis(150),
-            retry_spread: Duration::from_millis(700),
+            retry_after_min: Duration::from_millis(150),
+            retry_after_window: Duration::from_millis(700),
             ..GuardSettings::default()
         },
         free_moves: 4,
@@ -48,8 +48,8 @@
 /// need.
 #[test]
 fn work_times_by_kind() {
-    let weights = PlacementWeights { by_work: false, ..PlacementWeights::default() };
-    let placement = PlacementSettings { weights, ..policy().placement };
+    let factors = PlacementFactors { by_work: false, ..PlacementFactors::default() };
+    let placement = PlacementSettings { factors, ..policy().placement };
     let one_work_time = LabPolicy { placement, ..policy() };
     let [in_goal, _, megabytes] = compare_policies(&scenario(), [&one_work_time, &policy()], SEEDS);
     expect!["in goal +0.0005, MB -1.9"]
@@ -63,7 +63,8 @@
 /// the wait for a slot stays; without this rule each one goes to another data centre, even uploads.
 #[test]
 fn waits_in_own_centre() {
-    let placement = PlacementSettings { near_wait: Duration::ZERO, ..policy().placement };
+    let placement =
+        PlacementSettings { local_wait_per_kilobyte: Duration::ZERO, ..policy().placement };
     let without_wait = LabPolicy { placement, ..policy() };
     let [in_goal, _, megabytes] = compare_policies(&scenario(), [&without_wait, &policy()], SEEDS);
     expect!["in goal -0.0008, MB -2.2"]
--- a/components/member/src/assessment.rs
+++ b/components/member/src/assessment.rs
@@ -10,12 +10,12 @@
 
 use sk_model::ProxyId;
 
-use crate::{LocalMark, MemberMarks, MemberView, OverlayPlan};
+use crate::{LocalReachability, MemberSnapshot, OverlayPlan, ReachabilityMarks};
 
 /// Inputs of one liveness assessment.
 pub(crate) struct LivenessAssessment<'a> {
     pub(crate) own: &'a ProxyId,
-    pub(crate) view: &'a MemberView,
+    pub(crate) snapshot: &'a MemberSnapshot,
     pub(crate) plan: &'a OverlayPlan,
     /// Observers by suspected daemon, from suspicions that are valid for the current records.
     pub(crate) observers_by_suspect: BTreeMap<&'a ProxyId, Vec<&'a ProxyId>>,
@@ -37,17 +37,18 @@
     }
 
     /// Returns the marks of all daemons that are suspected or cannot be reached.
-    pub(crate) fn make_marks(&self, reached: &BTreeSet<&ProxyId>) -> MemberMarks {
+    pub(crate) fn make_marks(&self, reached: &BTreeSet<&ProxyId>) -> ReachabilityMarks {
         let suspects = self.observers_by_suspect.keys().copied();
         let silent = self.neighbours.iter().filter(|(_, is_silent)| **is_silent);
         let suspects = suspects.chain(silent.map(|(proxy, _)| *proxy));
         let suspects = suspects.filter(|proxy| *proxy != self.own);
-        let mut marks: BTreeMap<ProxyId, LocalMark> =
-            suspects.map(|proxy| (proxy.clone(), LocalMark::Suspect)).collect();
-        let running = self.view.values().filter(|record| record.is_running());
+        let mut marks: BTreeMap<ProxyId, LocalReachability> =
+            suspects.map(|proxy| (proxy.clone(), LocalReachability::Suspect)).collect();
+        let running = self.snapshot.values().filter(|record| record.is_running());
         let unreachable_records = running.filter(|record| !reached.contains(&record.proxy));
         marks.extend(
-            unreachable_records.map(|record| (record.proxy.clone(), LocalMark::Unreachable)),
+            unreachable_records
+                .map(|record| (record.proxy.clone(), LocalReachability::Unreachable)),
         );
         Arc::new(marks)
     }
@@ -84,7 +85,7 @@
             .iter()
             .filter(|observer| self.data_centre_of(observer) == data_centre)
             .count();
-        let centre_members = self.view.values().filter(|record| record.is_running());
+        let centre_members = self.snapshot.values().filter(|record| record.is_running());
         let centre_members: Vec<_> =
             centre_members.filter(|record| Some(&*record.data_centre) == data_centre).collect();
         let is_within = |member: &ProxyId| member != proxy && reached.contains(member);
@@ -101,6 +102,6 @@
 
     /// Returns the data centre of a daemon, or `None` if it is not known.
     fn data_centre_of(&self, proxy: &ProxyId) -> Option<&str> {
-        self.view.get(proxy).map(|record| record.data_centre.as_str())
+        self.snapshot.get(proxy).map(|record| record.data_centre.as_str())
     }
 }
--- a/components/member/src/digest.rs
+++ b/components/member/src/digest.rs
@@ -38,7 +38,7 @@
     }
 
     /// Returns the indices of the buckets that differ from those of a peer.
-    pub fn differing(&self, other: &Self) -> Vec<usize> {
+    pub fn differing_buckets(&self, other: &Self) -> Vec<usize> {
         let is_differing = |index: &usize| self.buckets[*index] != other.buckets[*index];
         (0..DIGEST_BUCKETS).filter(is_differing).collect()
     }
--- a/components/member/src/heartbeat.rs
+++ b/components/member/src/heartbeat.rs
@@ -24,7 +24,7 @@
     /// Name of the server; a later process may use it again.
     pub name: String,
     /// Start of the process on its own clock; zero if it is not reported.
-    pub born: UnixMillis,
+    pub started_at: UnixMillis,
     /// Number of the heartbeat within one process.
     pub sequence: u64,
     /// Service that the server runs.
@@ -41,16 +41,16 @@
 
 impl ServerHeartbeat {
     /// Returns the identifier of the process. The name alone may be used again by a later process.
-    pub fn process(&self) -> ServerId {
-        format!("{}:{}", self.name, self.born)
+    pub fn server_id(&self) -> ServerId {
+        format!("{}:{}", self.name, self.started_at)
     }
 }
 
 /// Whether a heartbeat is current.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HeartbeatVerdict {
+pub enum HeartbeatStatus {
     /// The heartbeat is current and describes the server.
-    News,
+    Current,
     /// A later heartbeat arrived before, or the process has left.
     Stale,
 }
@@ -58,7 +58,7 @@
 /// Last known state of a server process.
 #[derive(Clone, Debug)]
 struct ProcessState {
-    born: UnixMillis,
+    started_at: UnixMillis,
     sequence: u64,
     has_left: bool,
     address: Option<SocketAddr>,
@@ -71,45 +71,45 @@
 /// another process took over its address. Accepting it would send callers to a server that has
 /// left, and would break a drain that was already acknowledged.
 #[derive(Clone, Debug, Default)]
-pub struct HeartbeatBook {
+pub struct HeartbeatFilter {
     processes: BTreeMap<String, ProcessState>,
 }
 
-impl HeartbeatBook {
+impl HeartbeatFilter {
     /// Classifies a heartbeat that arrives at `now`, and remembers it if it is current.
-    pub fn judge(&mut self, beat: &ServerHeartbeat, now: Duration) -> HeartbeatVerdict {
-        let known = self.processes.get(&beat.name);
-        let is_draining = beat.status == EndpointStatus::Draining;
+    pub fn classify(&mut self, heartbeat: &ServerHeartbeat, now: Duration) -> HeartbeatStatus {
+        let known = self.processes.get(&heartbeat.name);
+        let is_draining = heartbeat.status == EndpointStatus::Draining;
         let is_stale = match known {
-            Some(known) if beat.born < known.born => true,
-            Some(known) if beat.born == known.born => {
+            Some(known) if heartbeat.started_at < known.started_at => true,
+            Some(known) if heartbeat.started_at == known.started_at => {
                 // A drain stays in force until the process ends, even if its heartbeat arrives
                 // late.
-                known.has_left || (beat.sequence <= known.sequence && !is_draining)
+                known.has_left || (heartbeat.sequence <= known.sequence && !is_draining)
             }
-            _ => self.is_replaced(beat, now),
+            _ => self.is_replaced(heartbeat, now),
         };
         if is_stale {
-            return HeartbeatVerdict::Stale;
+            return HeartbeatStatus::Stale;
         }
         let state = ProcessState {
-            born: beat.born,
+            started_at: heartbeat.started_at,
             sequence: known
-                .filter(|known| known.born == beat.born)
-                .map_or(beat.sequence, |known| known.sequence.max(beat.sequence)),
+                .filter(|known| known.started_at == heartbeat.started_at)
+                .map_or(heartbeat.sequence, |known| known.sequence.max(heartbeat.sequence)),
             has_left: false,
-            address: Some(beat.address),
+            address: Some(heartbeat.address),
             heard_at: now,
         };
-        self.processes.insert(beat.name.clone(), state);
+        self.processes.insert(heartbeat.name.clone(), state);
         self.remove_oldest();
-        HeartbeatVerdict::News
+        HeartbeatStatus::Current
     }
 
     /// Records that a server leaves, and returns the identifier of its process if it is known.
     /// `unix_time_ms` is the time on the clock of this instance: if the server was not heard
     /// before, every process with an earlier start counts as left.
-    pub fn leave(
+    pub fn record_leave(
         &mut self,
         name: &str,
         unix_time_ms: UnixMillis,
@@ -118,13 +118,13 @@
         match self.processes.get_mut(name) {
             Some(process) => {
                 process.has_left = true;
-                Some(format!("{name}:{}", process.born))
+                Some(format!("{name}:{}", process.started_at))
             }
             None => {
                 // A restarted daemon may receive the leave report first and an older heartbeat
                 // after it.
                 let state = ProcessState {
-                    born: unix_time_ms,
+                    started_at: unix_time_ms,
                     sequence: 0,
                     has_left: true,
                     address: None,
@@ -139,11 +139,11 @@
 
     /// Returns whether a running process that started later already uses the address of this
     /// heartbeat.
-    fn is_replaced(&self, beat: &ServerHeartbeat, now: Duration) -> bool {
+    fn is_replaced(&self, heartbeat: &ServerHeartbeat, now: Duration) -> bool {
         self.processes.iter().any(|(name, state)| {
-            *name != beat.name
-                && state.address == Some(beat.address)
-                && state.born > beat.born
+            *name != heartbeat.name
+                && state.address == Some(heartbeat.address)
+                && state.started_at > heartbeat.started_at
                 && !state.has_left
                 && now.saturating_sub(state.heard_at) < ADDRESS_TAKEOVER_DELAY
         })
--- a/components/member/src/lib.rs
+++ b/components/member/src/lib.rs
@@ -5,7 +5,6 @@
 //! with simulated time and message loss.
 
 mod assessment;
-mod board;
 mod choice;
 mod digest;
 mod freshness;
@@ -16,24 +15,25 @@
 mod overlay;
 mod record;
 mod rumor;
+mod shared_members;
 mod suspicion;
 mod suspicion_log;
 mod table;
 mod tombstone;
 mod tree;
 
-pub use board::{MemberBoard, MemberView};
 pub use choice::{choose_relays, rendezvous_weight};
 pub use digest::{DIGEST_BUCKETS, MemberDigest, bucket_of};
-pub use freshness::{FreshnessBook, FreshnessProof, HistoryMark, LookOptions, PollerHash};
-pub use heartbeat::{HeartbeatBook, HeartbeatVerdict, ServerHeartbeat};
-pub use marks::{LocalMark, MemberMarks};
+pub use freshness::{FreshnessProof, FreshnessTracker, HistoryPosition, PollOptions, PollerHash};
+pub use heartbeat::{HeartbeatFilter, HeartbeatStatus, ServerHeartbeat};
+pub use marks::{LocalReachability, ReachabilityMarks};
 pub use monitor::{LivenessMonitor, MonitorEvent, MonitorOptions};
 pub use overlay::{OverlayPlan, choose_links};
 pub use record::{
     EndpointRecord, EndpointStatus, Incarnation, MemberRecord, MemberStatus, ServerId,
 };
 pub use rumor::{MemberRumor, RumorQueue};
+pub use shared_members::{MemberSnapshot, SharedMembers};
 pub use suspicion::MemberSuspicion;
 pub use table::{MemberTable, MergeOutcome};
 pub use tree::{PushTree, push_targets};
--- a/components/member/src/marks.rs
+++ b/components/member/src/marks.rs
@@ -11,7 +11,7 @@
 /// owner only and merging stays commutative, and after a network cut between regions neither side
 /// has erased the records of the other.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
-pub enum LocalMark {
+pub enum LocalReachability {
     /// At least one observer does not hear the daemon: others are preferred for new work.
     #[display("suspect")]
     Suspect,
@@ -21,4 +21,4 @@
 }
 
 /// Marks by daemon; a daemon without a mark is reachable.
-pub type MemberMarks = Arc<BTreeMap<ProxyId, LocalMark>>;
+pub type ReachabilityMarks = Arc<BTreeMap<ProxyId, LocalReachability>>;
--- a/components/member/src/monitor.rs
+++ b/components/member/src/monitor.rs
@@ -9,7 +9,7 @@
 use sk_model::ProxyId;
 
 use crate::{
-    Incarnation, MemberMarks, MemberSuspicion, MemberView, OverlayPlan,
+    Incarnation, MemberSnapshot, MemberSuspicion, OverlayPlan, ReachabilityMarks,
     assessment::LivenessAssessment,
     neighbours::{DueSuspicion, NeighbourTracker},
     suspicion_log::SuspicionLog,
@@ -20,7 +20,7 @@
 pub struct MonitorOptions {
     /// Silence after which a neighbour is suspected. Default 1.5 s: three heartbeats of 500 ms,
     /// which leaves half of the 3 s in which a crash has to be known everywhere for spreading it.
-    pub suspect: Duration,
+    pub silence_timeout: Duration,
     /// Silence after which a neighbour whose connection was reset is suspected. Default 300 ms:
     /// longer than it takes to reopen a connection between regions.
     pub reset_timeout: Duration,
@@ -32,14 +32,14 @@
     /// two minutes.
     pub suspicion_ttl: Duration,
     /// Time between two ticks above which this process counts as having been paused. Default 750
-    /// ms, half of `suspect`: a shorter pause cannot make all neighbours look silent.
+    /// ms, half of `silence_timeout`: a shorter pause cannot make all neighbours look silent.
     pub pause_threshold: Duration,
 }
 
 impl Default for MonitorOptions {
     fn default() -> Self {
         Self {
-            suspect: Duration::from_millis(1_500),
+            silence_timeout: Duration::from_millis(1_500),
             reset_timeout: Duration::from_millis(300),
             quorum: 2,
             suspicion_ttl: Duration::from_secs(120),
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MonitorEvent {
     /// This daemon sends a suspicion or a withdrawal: push it to the rumor queue.
-    Spread(MemberSuspicion),
+    SendSuspicion(MemberSuspicion),
     /// Enough observers agree that a daemon is gone: call
     /// [`MemberTable::declare_gone`](crate::MemberTable::declare_gone).
     Gone {
@@ -63,8 +63,8 @@
         /// Sequence of the record that is declared gone.
         sequence: u64,
     },
-    /// The local marks changed: call [`MemberBoard::set_marks`](crate::MemberBoard::set_marks).
-    Marked(MemberMarks),
+    /// The local marks changed: call [`SharedMembers::set_marks`](crate::SharedMembers::set_marks).
+    MarksChanged(ReachabilityMarks),
     /// This process was paused for the given time: call
     /// [`MemberTable::withdraw_endpoints`](crate::MemberTable::withdraw_endpoints).
     Paused(Duration),
@@ -76,22 +76,22 @@
 #[derive(Debug)]
 pub struct LivenessMonitor {
     own: ProxyId,
-    round: u64,
+    suspicion_count: u64,
     options: MonitorOptions,
     neighbour_tracker: NeighbourTracker,
     suspicion_log: SuspicionLog,
-    marks: MemberMarks,
+    marks: ReachabilityMarks,
     last_tick: Option<Duration>,
     assess_after: Duration,
-    planned_view: Option<PlannedView>,
+    cached_plan: Option<CachedPlan>,
     last_assessed: Option<AssessedInput>,
 }
 
 /// The links of a snapshot, cached because computing them takes about a millisecond at 780
 /// daemons.
 #[derive(Debug)]
-struct PlannedView {
-    view: MemberView,
+struct CachedPlan {
+    snapshot: MemberSnapshot,
     plan: Arc<OverlayPlan>,
 }
 
@@ -111,14 +111,14 @@
     pub fn new(own: ProxyId, incarnation: Incarnation, options: MonitorOptions) -> Self {
         Self {
             own,
-            round: incarnation,
+            suspicion_count: incarnation,
             options,
             neighbour_tracker: NeighbourTracker::default(),
             suspicion_log: SuspicionLog::default(),
-            marks: MemberMarks::default(),
+            marks: ReachabilityMarks::default(),
             last_tick: None,
             assess_after: Duration::ZERO,
-            planned_view: None,
+            cached_plan: None,
             last_assessed: None,
         }
     }
@@ -132,44 +132,44 @@
     }
 
     /// Records that a neighbour was heard at `now`.
-    pub fn heard(&mut self, proxy: &str, now: Duration) {
-        self.neighbour_tracker.note_heard(proxy, now, &self.options);
+    pub fn record_heard(&mut self, proxy: &str, now: Duration) {
+        self.neighbour_tracker.record_heard(proxy, now, &self.options);
     }
 
     /// Records that the connection to a neighbour was reset or refused. The kernel reports this at
     /// once when a process ends, long before its silence is noticed.
-    pub fn lost(&mut self, proxy: &str, now: Duration) {
-        self.neighbour_tracker.note_reset(proxy, now);
+    pub fn record_reset(&mut self, proxy: &str, now: Duration) {
+        self.neighbour_tracker.record_reset(proxy, now);
     }
 
     /// Adds a suspicion of another observer, and returns whether it was new and has to be passed
     /// on.
-    pub fn note(&mut self, suspicion: MemberSuspicion, now: Duration) -> bool {
+    pub fn add_suspicion(&mut self, suspicion: MemberSuspicion, now: Duration) -> bool {
         suspicion.observer != self.own && self.suspicion_log.insert(suspicion, now)
     }
 
     /// Returns the marks as of the last tick.
-    pub fn marks(&self) -> &MemberMarks {
+    pub fn marks(&self) -> &ReachabilityMarks {
         &self.marks
     }
 
     /// Evaluates all timers and suspicions, and returns the actions that are due. It has to be
     /// called about every 100 ms; a longer gap counts as a pause of this process.
-    pub fn tick(&mut self, view: &MemberView, now: Duration) -> Vec<MonitorEvent> {
+    pub fn tick(&mut self, snapshot: &MemberSnapshot, now: Duration) -> Vec<MonitorEvent> {
         let gap = now.saturating_sub(self.last_tick.replace(now).unwrap_or(now));
         if gap > self.options.pause_threshold {
             return self.resume_after_pause(gap, now);
         }
         self.suspicion_log.expire(now, self.options.suspicion_ttl);
-        let due = self.neighbour_tracker.due_suspicions(view, now, &self.options);
+        let due = self.neighbour_tracker.due_suspicions(snapshot, now, &self.options);
         let suspicions: Vec<MemberSuspicion> =
             due.into_iter().map(|due| self.create_suspicion(due)).collect();
         for suspicion in &suspicions {
             self.suspicion_log.insert(suspicion.clone(), now);
         }
-        let mut events: Vec<_> = suspicions.into_iter().map(MonitorEvent::Spread).collect();
+        let mut events: Vec<_> = suspicions.into_iter().map(MonitorEvent::SendSuspicion).collect();
         if now >= self.assess_after {
-            self.assess(view, now, &mut events);
+            self.assess(snapshot, now, &mut events);
         }
         events
     }
@@ -179,26 +179,26 @@
     // remove running daemons; what it missed arrives within the delay.
     fn resume_after_pause(&mut self, gap: Duration, now: Duration) -> Vec<MonitorEvent> {
         self.neighbour_tracker.restart_timers(now);
-        self.assess_after = now + self.options.suspect;
+        self.assess_after = now + self.options.silence_timeout;
         vec![MonitorEvent::Paused(gap)]
     }
 
     /// Creates the message for a due suspicion, under the next number of this daemon.
     fn create_suspicion(&mut self, due: DueSuspicion) -> MemberSuspicion {
-        self.round += 1;
+        self.suspicion_count += 1;
         MemberSuspicion {
             proxy: due.proxy,
             incarnation: due.incarnation,
             sequence: due.sequence,
             observer: self.own.clone(),
-            round: self.round,
+            number: self.suspicion_count,
             is_withdrawn: due.is_withdrawn,
         }
     }
 
     /// Updates the marks and adds the events that follow from the current suspicions. Does nothing
     /// if neither the suspicions nor the links have changed.
-    fn assess(&mut self, view: &MemberView, now: Duration, events: &mut Vec<MonitorEvent>) {
+    fn assess(&mut self, snapshot: &MemberSnapshot, now: Duration, events: &mut Vec<MonitorEvent>) {
         let silent = self
             .neighbour_tracker
             .silence_states(now, &self.options)
@@ -207,26 +207,26 @@
         let has_no_suspicion = silent.is_empty() && self.suspicion_log.is_empty();
         if has_no_suspicion || self.neighbour_tracker.is_empty() {
             self.last_assessed = None;
-            return self.set_marks(MemberMarks::default(), events);
+            return self.set_marks(ReachabilityMarks::default(), events);
         }
         let input = AssessedInput { revision: self.suspicion_log.revision(), silent };
-        let is_planned = self.is_planned(view);
+        let is_planned = self.is_planned(snapshot);
         if is_planned && self.last_assessed.as_ref() == Some(&input) {
             return;
         }
-        let plan = self.plan(view);
+        let plan = self.plan(snapshot);
         let assessment = LivenessAssessment {
             own: &self.own,
-            view,
+            snapshot,
             plan: &plan,
-            observers_by_suspect: self.suspicion_log.observers_by_suspect(view),
+            observers_by_suspect: self.suspicion_log.observers_by_suspect(snapshot),
             neighbours: self.neighbour_tracker.silence_states(now, &self.options).collect(),
             quorum: self.options.quorum.max(1),
         };
         let reached = assessment.find_reached();
         let marks = assessment.make_marks(&reached);
         for proxy in assessment.find_gone(&reached) {
-            let record = &view[&proxy];
+            let record = &snapshot[&proxy];
             let (incarnation, sequence) = (record.incarnation, record.sequence);
             events.push(MonitorEvent::Gone { proxy, incarnation, sequence });
         }
@@ -235,31 +235,33 @@
     }
 
     /// Returns the links for a snapshot; they are computed only if they may have changed.
-    pub fn plan(&mut self, view: &MemberView) -> Arc<OverlayPlan> {
-        let plan = match &self.planned_view {
-            Some(planned_view) if Arc::ptr_eq(&planned_view.view, view) => {
-                return planned_view.plan.clone();
+    pub fn plan(&mut self, snapshot: &MemberSnapshot) -> Arc<OverlayPlan> {
+        let plan = match &self.cached_plan {
+            Some(cached_plan) if Arc::ptr_eq(&cached_plan.snapshot, snapshot) => {
+                return cached_plan.plan.clone();
             }
-            Some(planned_view) if planned_view.plan.is_current_for(view) => {
-                planned_view.plan.clone()
+            Some(cached_plan) if cached_plan.plan.is_current_for(snapshot) => {
+                cached_plan.plan.clone()
             }
-            _ => Arc::new(OverlayPlan::new(view)),
+            _ => Arc::new(OverlayPlan::new(snapshot)),
         };
-        self.planned_view = Some(PlannedView { view: view.clone(), plan: plan.clone() });
+        self.cached_plan = Some(CachedPlan { snapshot: snapshot.clone(), plan: plan.clone() });
         self.last_assessed = None;
         plan
     }
 
     /// Returns whether the cached links were computed from this very snapshot.
-    fn is_planned(&self, view: &MemberView) -> bool {
-        self.planned_view.as_ref().is_some_and(|planned_view| Arc::ptr_eq(&planned_view.view, view))
+    fn is_planned(&self, snapshot: &MemberSnapshot) -> bool {
+        self.cached_plan
+            .as_ref()
+            .is_some_and(|cached_plan| Arc::ptr_eq(&cached_plan.snapshot, snapshot))
     }
 
     /// Replaces the marks, and adds an event if they changed.
-    fn set_marks(&mut self, marks: MemberMarks, events: &mut Vec<MonitorEvent>) {
+    fn set_marks(&mut self, marks: ReachabilityMarks, events: &mut Vec<MonitorEvent>) {
         if self.marks != marks {
             self.marks = marks.clone();
-            events.push(MonitorEvent::Marked(marks));
+            events.push(MonitorEvent::MarksChanged(marks));
         }
     }
 }
--- a/components/member/src/neighbours.rs
+++ b/components/member/src/neighbours.rs
@@ -11,7 +11,7 @@
 
 use sk_model::ProxyId;
 
-use crate::{Incarnation, MemberView, MonitorOptions};
+use crate::{Incarnation, MemberSnapshot, MonitorOptions};
 
 /// Longest delay before a neighbour that refuted a suspicion but is still not heard over the link
 /// is suspected again. Each suspicion makes the neighbour raise its sequence, which is sent to all
@@ -68,11 +68,11 @@
     }
 
     /// Records that a neighbour was heard, and queues the withdrawal of a suspicion sent before.
-    pub(crate) fn note_heard(&mut self, proxy: &str, now: Duration, options: &MonitorOptions) {
+    pub(crate) fn record_heard(&mut self, proxy: &str, now: Duration, options: &MonitorOptions) {
         let Some(state) = self.neighbours.get_mut(proxy) else { return };
         state.heard_at = now;
         state.reset_at = None;
-        state.backoff = options.suspect;
+        state.backoff = options.silence_timeout;
         if let Some(sent) = state.sent_suspicion.take() {
             self.due_withdrawals.push(DueSuspicion {
                 proxy: proxy.to_owned(),
@@ -84,7 +84,7 @@
     }
 
     /// Records the first reset of the connection since the neighbour was last heard.
-    pub(crate) fn note_reset(&mut self, proxy: &str, now: Duration) {
+    pub(crate) fn record_reset(&mut self, proxy: &str, now: Duration) {
         if let Some(state) = self.neighbours.get_mut(proxy) {
             state.reset_at.get_or_insert(now);
         }
@@ -115,13 +115,13 @@
     /// Returns the suspicions and withdrawals that are due, and marks them as sent.
     pub(crate) fn due_suspicions(
         &mut self,
-        view: &MemberView,
+        snapshot: &MemberSnapshot,
         now: Duration,
         options: &MonitorOptions,
     ) -> Vec<DueSuspicion> {
         let mut due = std::mem::take(&mut self.due_withdrawals);
         for (proxy, state) in &mut self.neighbours {
-            let Some(record) = view.get(proxy).filter(|record| record.is_running()) else {
+            let Some(record) = snapshot.get(proxy).filter(|record| record.is_running()) else {
                 continue;
             };
             state.observe_record(record.incarnation, record.sequence, now, options);
@@ -151,7 +151,7 @@
             incarnation: None,
             sent_suspicion: None,
             suspect_after: now,
-            backoff: options.suspect,
+            backoff: options.silence_timeout,
         }
     }
 
@@ -160,9 +160,9 @@
     fn is_silent(&self, now: Duration, options: &MonitorOptions) -> bool {
         let deadline = match self.reset_at {
             Some(reset_at) => {
-                (reset_at + options.reset_timeout).min(self.heard_at + options.suspect)
+                (reset_at + options.reset_timeout).min(self.heard_at + options.silence_timeout)
             }
-            None => self.heard_at + options.suspect,
+            None => self.heard_at + options.silence_timeout,
         };
         now >= deadline
     }
--- a/components/member/src/overlay.rs
+++ b/components/member/src/overlay.rs
@@ -9,7 +9,7 @@
 use sk_model::{DataCentre, ProxyId};
 
 use crate::{
-    MemberRecord, MemberView,
+    MemberRecord, MemberSnapshot,
     digest::{name_hash, pair_hash},
 };
 
@@ -65,17 +65,17 @@
 
 impl OverlayPlan {
     /// Computes the links between the running members.
-    pub fn new(view: &MemberView) -> Self {
+    pub fn new(snapshot: &MemberSnapshot) -> Self {
         let member = |record: &MemberRecord| PlanMember {
             proxy: record.proxy.clone(),
             data_centre: record.data_centre.clone(),
             region: record.region.clone(),
             hash: name_hash(&record.proxy),
         };
-        let members: Vec<PlanMember> = running(view).map(member).collect();
+        let members: Vec<PlanMember> = running(snapshot).map(member).collect();
         let links = vec![LinkList::default(); members.len()];
         let mut plan = Self { members, links };
-        let centres = group_members(running(view));
+        let centres = group_members(running(snapshot));
         for centre in &centres {
             plan.add_rings(&centre.members);
         }
@@ -89,18 +89,18 @@
 
     /// Returns whether a snapshot leads to the same links. Drains and changed endpoints do not
     /// change links.
-    pub fn is_current_for(&self, view: &MemberView) -> bool {
+    pub fn is_current_for(&self, snapshot: &MemberSnapshot) -> bool {
         let is_same = |(member, record): (&PlanMember, &MemberRecord)| {
             member.proxy == record.proxy
                 && member.data_centre == record.data_centre
                 && member.region == record.region
         };
-        running(view).count() == self.members.len()
-            && self.members.iter().zip(running(view)).all(is_same)
+        running(snapshot).count() == self.members.len()
+            && self.members.iter().zip(running(snapshot)).all(is_same)
     }
 
     /// Returns the daemons that `proxy` opens a connection to.
-    pub fn chosen(&self, proxy: &str) -> Vec<ProxyId> {
+    pub fn opened_links(&self, proxy: &str) -> Vec<ProxyId> {
         let links = self.links_of(proxy);
         links
             .into_iter()
@@ -199,8 +199,8 @@
 }
 
 /// Returns the daemons that `own` opens a control connection to.
-pub fn choose_links(view: &MemberView, own: &str) -> Vec<ProxyId> {
-    OverlayPlan::new(view).chosen(own)
+pub fn choose_links(snapshot: &MemberSnapshot, own: &str) -> Vec<ProxyId> {
+    OverlayPlan::new(snapshot).opened_links(own)
 }
 
 /// A data centre with the indices of its members.
@@ -209,8 +209,8 @@
     members: Vec<usize>,
 }
 
-fn running(view: &MemberView) -> impl Iterator<Item = &MemberRecord> {
-    view.values().map(|record| &**record).filter(|record| record.is_running())
+fn running(snapshot: &MemberSnapshot) -> impl Iterator<Item = &MemberRecord> {
+    snapshot.values().map(|record| &**record).filter(|record| record.is_running())
 }
 
 // Ordered by region, data centre and name, which is the same on every daemon.
--- a/components/member/src/record.rs
+++ b/components/member/src/record.rs
@@ -121,7 +121,7 @@
 
     /// Returns whether the daemon is believed to be reachable for control traffic and is not
     /// leaving.
-    pub fn is_present(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         matches!(self.status, MemberStatus::Alive | MemberStatus::Suspect)
     }
 }
--- a/components/member/src/rumor.rs
+++ b/components/member/src/rumor.rs
@@ -93,11 +93,11 @@
         }
     }
 
-    /// Removes and returns up to `most` rumors for a link, oldest first.
-    pub fn take(&mut self, link: &ProxyId, most: usize) -> Vec<MemberRumor> {
+    /// Removes and returns up to `max_count` rumors for a link, oldest first.
+    pub fn take(&mut self, link: &ProxyId, max_count: usize) -> Vec<MemberRumor> {
         let Some(queue) = self.links.get_mut(link) else { return Vec::new() };
         let mut taken = Vec::new();
-        while taken.len() < most
+        while taken.len() < max_count
             && let Some(key) = queue.send_order.pop_front()
         {
             taken.extend(queue.rumors.remove(&key));
@@ -113,13 +113,13 @@
     /// Returns whether digests are to be compared over a link, because it is new or lost rumors,
     /// and clears the request. The caller takes the digest right after this call, before it merges
     /// more records.
-    pub fn take_repair(&mut self, link: &ProxyId) -> bool {
+    pub fn take_digest_request(&mut self, link: &ProxyId) -> bool {
         let queue = self.links.get_mut(link);
         queue.is_some_and(|queue| std::mem::take(&mut queue.needs_repair))
     }
 
     /// Requests a comparison of digests over a link after sending over it failed.
-    pub fn mark_failed(&mut self, link: &ProxyId) {
+    pub fn request_digest(&mut self, link: &ProxyId) {
         if let Some(queue) = self.links.get_mut(link) {
             queue.request_repair();
         }
@@ -178,7 +178,9 @@
     fn is_newer(&self, queued: &Self) -> bool {
         match (self, queued) {
             (Self::Record(record), Self::Record(queued)) => record.rank() > queued.rank(),
-            (Self::Suspicion(suspicion), Self::Suspicion(queued)) => suspicion.round > queued.round,
+            (Self::Suspicion(suspicion), Self::Suspicion(queued)) => {
+                suspicion.number > queued.number
+            }
             _ => false,
         }
     }
--- a/components/member/src/board.rs
+++ b/components/member/src/shared_members.rs
@@ -1,6 +1,6 @@
 //! The member table as shared by the tasks of one daemon.
 //!
-//! Control tasks change the table under a lock. Other tasks read immutable views of it, so that
+//! Control tasks change the table under a lock. Other tasks read immutable snapshots of it, so that
 //! requests never wait for control traffic.
 
 use std::{
@@ -11,26 +11,26 @@
 use sk_model::ProxyId;
 use tokio::sync::watch;
 
-use crate::{MemberMarks, MemberRecord, MemberTable};
+use crate::{MemberRecord, MemberTable, ReachabilityMarks};
 
 /// Snapshot of the records, by daemon name; cheap to clone.
-pub type MemberView = Arc<BTreeMap<ProxyId, Arc<MemberRecord>>>;
+pub type MemberSnapshot = Arc<BTreeMap<ProxyId, Arc<MemberRecord>>>;
 
 /// The member table behind a lock, with a snapshot whose changes readers can await.
 ///
 /// Only control traffic takes the lock; the request path reads a table built from the snapshot.
-pub struct MemberBoard {
+pub struct SharedMembers {
     table: Mutex<MemberTable>,
-    marks: Mutex<MemberMarks>,
-    view: watch::Sender<MemberView>,
+    marks: Mutex<ReachabilityMarks>,
+    snapshot: watch::Sender<MemberSnapshot>,
 }
 
-impl MemberBoard {
-    /// Creates a board with the record of its own daemon only.
+impl SharedMembers {
+    /// Creates the table with the record of its own daemon only.
     pub fn new(record: MemberRecord) -> Self {
         let table = MemberTable::new(record);
-        let view = watch::Sender::new(Arc::new(table.records().clone()));
-        Self { table: Mutex::new(table), marks: Mutex::default(), view }
+        let snapshot = watch::Sender::new(Arc::new(table.records().clone()));
+        Self { table: Mutex::new(table), marks: Mutex::default(), snapshot }
     }
 
     /// Applies a change to the table, and publishes a new snapshot if `is_changed` returns true.
@@ -43,31 +43,31 @@
         let outcome = change(&mut table);
         if is_changed(&outcome) {
             // Published under the lock, so that snapshots appear in the order of the changes.
-            self.view.send_replace(Arc::new(table.records().clone()));
+            self.snapshot.send_replace(Arc::new(table.records().clone()));
         }
         outcome
     }
 
     /// Sets the reachability marks of this daemon, and wakes the subscribers.
-    pub fn set_marks(&self, marks: MemberMarks) {
+    pub fn set_marks(&self, marks: ReachabilityMarks) {
         *self.marks.lock().unwrap_or_else(PoisonError::into_inner) = marks;
         // The records are unchanged, but subscribers have to read the marks again.
-        self.view.send_modify(|_| ());
+        self.snapshot.send_modify(|_| ());
     }
 
     /// Returns the reachability marks of this daemon.
-    pub fn marks(&self) -> MemberMarks {
+    pub fn marks(&self) -> ReachabilityMarks {
         self.marks.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
     /// Returns the current snapshot of the records.
-    pub fn view(&self) -> MemberView {
-        self.view.borrow().clone()
+    pub fn snapshot(&self) -> MemberSnapshot {
+        self.snapshot.borrow().clone()
     }
 
     /// Returns a receiver that is notified of each new snapshot and of each change of the marks.
-    pub fn subscribe(&self) -> watch::Receiver<MemberView> {
-        self.view.subscribe()
+    pub fn subscribe(&self) -> watch::Receiver<MemberSnapshot> {
+        self.snapshot.subscribe()
     }
 
     /// Returns the record of this daemon.
--- a/components/member/src/suspicion_log.rs
+++ b/components/member/src/suspicion_log.rs
@@ -7,7 +7,7 @@
 
 use sk_model::ProxyId;
 
-use crate::{MemberRecord, MemberSuspicion, MemberView};
+use crate::{MemberRecord, MemberSnapshot, MemberSuspicion};
 
 /// Largest number of suspicions: two for each link of 780 daemons. Memory stays within about 2 MB
 /// whatever peers send; a suspicion beyond this number is dropped and not passed on.
@@ -36,7 +36,7 @@
             .get(&suspicion.proxy)
             .and_then(|suspicions| suspicions.get(&suspicion.observer));
         match known {
-            Some(known) if known.suspicion.round >= suspicion.round => return false,
+            Some(known) if known.suspicion.number >= suspicion.number => return false,
             None if self.len >= MAX_SUSPICIONS => return false,
             None => self.len += 1,
             Some(_) => (),
@@ -73,14 +73,15 @@
     /// current records.
     pub(crate) fn observers_by_suspect<'a>(
         &'a self,
-        view: &'a MemberView,
+        snapshot: &'a MemberSnapshot,
     ) -> BTreeMap<&'a ProxyId, Vec<&'a ProxyId>> {
         let mut observers_by_suspect = BTreeMap::new();
         for (proxy, suspicions) in &self.suspicions {
-            let Some(record) = view.get(proxy).filter(|record| record.is_running()) else {
+            let Some(record) = snapshot.get(proxy).filter(|record| record.is_running()) else {
                 continue;
             };
-            let is_valid = |logged: &&LoggedSuspicion| is_valid(&logged.suspicion, record, view);
+            let is_valid =
+                |logged: &&LoggedSuspicion| is_valid(&logged.suspicion, record, snapshot);
             let valid_observers =
                 suspicions.values().filter(is_valid).map(|logged| &logged.suspicion.observer);
             let observers: Vec<&ProxyId> = valid_observers.collect();
@@ -93,8 +94,9 @@
 }
 
 // A suspicion about an older sequence is refuted: the owner has raised its sequence since.
-fn is_valid(suspicion: &MemberSuspicion, record: &MemberRecord, view: &MemberView) -> bool {
-    let is_running = view.get(&suspicion.observer).is_some_and(|observer| observer.is_running());
+fn is_valid(suspicion: &MemberSuspicion, record: &MemberRecord, snapshot: &MemberSnapshot) -> bool {
+    let is_running =
+        snapshot.get(&suspicion.observer).is_some_and(|observer| observer.is_running());
     let is_current =
         (suspicion.incarnation, suspicion.sequence) == (record.incarnation, record.sequence);
     !suspicion.is_withdrawn && is_running && is_current
--- a/components/member/src/table.rs
+++ b/components/member/src/table.rs
@@ -138,7 +138,7 @@
     }
 
     /// Removes expired tombstones and returns their number. It has to be called every few seconds.
-    pub fn expire(&mut self, now: Duration) -> usize {
+    pub fn expire_tombstones(&mut self, now: Duration) -> usize {
         let is_gone = |record: &&Arc<MemberRecord>| !record.is_running();
         let gone = self.records.values().filter(is_gone).map(|record| &record.proxy);
         let outcome = self.tombstones.sweep(gone.filter(|proxy| **proxy != self.own), now);
--- a/components/member/src/tree.rs
+++ b/components/member/src/tree.rs
@@ -3,7 +3,7 @@
 use sk_model::ProxyId;
 
 use crate::{
-    MemberView,
+    MemberSnapshot,
     digest::{name_hash, pair_hash},
 };
 
@@ -21,12 +21,12 @@
 
 impl PushTree {
     /// Creates the tree of the present members of a data centre. A fan-out of 0 counts as 1.
-    pub fn new(view: &MemberView, data_centre: &str, root: &str, fan_out: usize) -> Self {
+    pub fn new(snapshot: &MemberSnapshot, data_centre: &str, root: &str, fan_out: usize) -> Self {
         let is_member = |proxy: &&ProxyId| {
-            let record = &view[*proxy];
-            record.data_centre == data_centre && record.is_present()
+            let record = &snapshot[*proxy];
+            record.data_centre == data_centre && record.is_active()
         };
-        let mut members: Vec<ProxyId> = view.keys().filter(is_member).cloned().collect();
+        let mut members: Vec<ProxyId> = snapshot.keys().filter(is_member).cloned().collect();
         let seed = name_hash(root);
         members.sort_by_cached_key(|proxy| (proxy != root, pair_hash(seed, name_hash(proxy))));
         Self { members, fan_out: fan_out.max(1) }
@@ -53,9 +53,14 @@
 }
 
 /// Returns the children of `own` in the tree of its data centre with the root `root`.
-pub fn push_targets(view: &MemberView, own: &str, root: &str, fan_out: usize) -> Vec<ProxyId> {
-    let data_centre = view.get(own).map(|record| record.data_centre.as_str());
+pub fn push_targets(
+    snapshot: &MemberSnapshot,
+    own: &str,
+    root: &str,
+    fan_out: usize,
+) -> Vec<ProxyId> {
+    let data_centre = snapshot.get(own).map(|record| record.data_centre.as_str());
     data_centre.map_or_else(Vec::new, |data_centre| {
-        PushTree::new(view, data_centre, root, fan_out).children(own)
+        PushTree::new(snapshot, data_centre, root, fan_out).children(own)
     })
 }
--- a/components/member/tests/fault_handling.rs
+++ b/components/member/tests/fault_handling.rs
@@ -36,13 +36,13 @@
     let mut network = network::<P>();
     assert!(network.nodes["proxy-010"].neighbours().contains(&"proxy-019".to_owned()));
     network.is_cut = |from, to| (from, to) == ("proxy-010", "proxy-019");
-    let mut most_gone = 0;
+    let mut max_gone = 0;
     for _ in 0..60 {
         network.run(Duration::from_millis(500));
         let usable = network.count("proxy-010", FakeBelief::Usable);
-        most_gone = most_gone.max(SIZE - 1 - usable);
+        max_gone = max_gone.max(SIZE - 1 - usable);
     }
-    most_gone
+    max_gone
 }
 
 // One link breaks in one direction, as when the connection table of an instance is full, so that
--- a/components/member/tests/liveness_monitor.rs
+++ b/components/member/tests/liveness_monitor.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 use sk_member::{
-    LivenessMonitor, LocalMark, MemberStatus, MemberSuspicion, MemberTable, MemberView,
+    LivenessMonitor, LocalReachability, MemberSnapshot, MemberStatus, MemberSuspicion, MemberTable,
     MonitorEvent, MonitorOptions,
 };
-use support::{fleet, record, view_of};
+use support::{fleet, record, snapshot_of};
 
 fn millis(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -26,8 +26,8 @@
     (monitor, table)
 }
 
-fn view(table: &MemberTable) -> MemberView {
-    view_of(table.records().values().cloned())
+fn snapshot(table: &MemberTable) -> MemberSnapshot {
+    snapshot_of(table.records().values().cloned())
 }
 
 /// Ticks through a range of times in ms, during which all daemons but `silent` are heard, and
@@ -38,13 +38,13 @@
     silent: &str,
     time: std::ops::Range<u64>,
 ) -> Vec<MonitorEvent> {
-    let view = view(table);
+    let snapshot = snapshot(table);
     let mut events = Vec::new();
     for now in time.step_by(100).map(millis) {
-        for proxy in view.keys().filter(|proxy| *proxy != silent) {
-            monitor.heard(proxy, now);
+        for proxy in snapshot.keys().filter(|proxy| *proxy != silent) {
+            monitor.record_heard(proxy, now);
         }
-        events.extend(monitor.tick(&view, now));
+        events.extend(monitor.tick(&snapshot, now));
     }
     events
 }
@@ -55,7 +55,7 @@
         incarnation: 1,
         sequence: 1,
         observer: observer.to_owned(),
-        round: 10,
+        number: 10,
         is_withdrawn: false,
     }
 }
@@ -65,7 +65,7 @@
 }
 
 fn suspicion_count(events: &[MonitorEvent]) -> usize {
-    events.iter().filter(|event| matches!(event, MonitorEvent::Spread(_))).count()
+    events.iter().filter(|event| matches!(event, MonitorEvent::SendSuspicion(_))).count()
 }
 
 // In a small fleet there may be only one observer. It stops using the silent daemon, but its
@@ -85,8 +85,8 @@
 fn second_observer() {
     let (mut monitor, table) = monitor_of(5);
     run(&mut monitor, &table, "m1", 0..2_000);
-    assert!(monitor.note(suspicion("m1", "m2"), millis(2_000)));
-    assert!(!monitor.note(suspicion("m1", "m2"), millis(2_000)), "known");
+    assert!(monitor.add_suspicion(suspicion("m1", "m2"), millis(2_000)));
+    assert!(!monitor.add_suspicion(suspicion("m1", "m2"), millis(2_000)), "known");
     assert!(is_gone(&run(&mut monitor, &table, "m1", 2_000..2_200)));
 }
 
@@ -94,17 +94,18 @@
 // are, the daemon is only marked.
 #[test]
 fn far_observers() {
-    let view = view_of(fleet(90));
+    let snapshot = snapshot_of(fleet(90));
     let mut monitor = LivenessMonitor::new("proxy-000".to_owned(), 1, MonitorOptions::default());
-    let neighbours: Vec<String> = monitor.plan(&view).neighbours("proxy-000").cloned().collect();
+    let neighbours: Vec<String> =
+        monitor.plan(&snapshot).neighbours("proxy-000").cloned().collect();
     monitor.set_neighbours(neighbours, Duration::ZERO);
-    for observer in view.keys().filter(|name| view[*name].data_centre != "dc1") {
+    for observer in snapshot.keys().filter(|name| snapshot[*name].data_centre != "dc1") {
         let far_suspicion =
             MemberSuspicion { incarnation: 1_000, ..suspicion("proxy-010", observer) };
-        monitor.note(far_suspicion, Duration::ZERO);
+        monitor.add_suspicion(far_suspicion, Duration::ZERO);
     }
-    assert!(!is_gone(&monitor.tick(&view, millis(100))));
-    assert_eq!(monitor.marks().get("proxy-010"), Some(&LocalMark::Suspect));
+    assert!(!is_gone(&monitor.tick(&snapshot, millis(100))));
+    assert_eq!(monitor.marks().get("proxy-010"), Some(&LocalReachability::Suspect));
 }
 
 // The kernel resets the connections of a process that ended. Waiting for silence would send
@@ -113,13 +114,15 @@
 fn reset_is_faster() {
     let (mut monitor, table) = monitor_of(5);
     run(&mut monitor, &table, "m1", 0..1_000);
-    monitor.heard("m1", millis(950));
-    monitor.lost("m1", millis(1_000));
+    monitor.record_heard("m1", millis(950));
+    monitor.record_reset("m1", millis(1_000));
     assert_eq!(suspicion_count(&run(&mut monitor, &table, "m1", 1_000..1_300)), 0);
     assert_eq!(suspicion_count(&run(&mut monitor, &table, "m1", 1_300..1_400)), 1);
-    monitor.heard("m1", millis(1_400));
-    let events = monitor.tick(&view(&table), millis(1_400));
-    assert!(matches!(&events[..], [MonitorEvent::Spread(suspicion), ..] if suspicion.is_withdrawn));
+    monitor.record_heard("m1", millis(1_400));
+    let events = monitor.tick(&snapshot(&table), millis(1_400));
+    assert!(
+        matches!(&events[..], [MonitorEvent::SendSuspicion(suspicion), ..] if suspicion.is_withdrawn)
+    );
     assert!(monitor.marks().is_empty());
 }
 
@@ -146,9 +149,9 @@
 fn own_pause() {
     let (mut monitor, table) = monitor_of(5);
     run(&mut monitor, &table, "", 0..1_000);
-    monitor.note(suspicion("m1", "m2"), millis(900));
-    monitor.note(suspicion("m1", "m3"), millis(900));
-    let events = monitor.tick(&view(&table), millis(11_000));
+    monitor.add_suspicion(suspicion("m1", "m2"), millis(900));
+    monitor.add_suspicion(suspicion("m1", "m3"), millis(900));
+    let events = monitor.tick(&snapshot(&table), millis(11_000));
     assert_eq!(events, [MonitorEvent::Paused(millis(10_100))]);
     let events = run(&mut monitor, &table, "", 11_100..12_400);
     assert!(!is_gone(&events) && suspicion_count(&events) == 0, "{events:?}");
--- a/components/member/tests/overlay_links.rs
+++ b/components/member/tests/overlay_links.rs
@@ -9,7 +9,7 @@
 
 use rand::{SeedableRng, rngs::StdRng, seq::SliceRandom};
 use sk_member::{MemberRecord, OverlayPlan, choose_links};
-use support::{fleet, view_of};
+use support::{fleet, snapshot_of};
 
 /// Returns how many daemons a flood reaches and in how many steps, without the daemons in `down`.
 fn flood(plan: &OverlayPlan, from: &str, down: &BTreeSet<String>) -> (usize, usize) {
@@ -34,22 +34,22 @@
 #[test]
 fn few_links() {
     for len in [2, 3, 9, 10, 50, 200, 780] {
-        let view = view_of(fleet(len));
-        let plan = OverlayPlan::new(&view);
-        let most = view.keys().map(|proxy| plan.chosen(proxy).len()).max();
-        let most_shared = view.keys().map(|proxy| plan.neighbours(proxy).count()).max();
-        let shared: usize = view.keys().map(|proxy| plan.neighbours(proxy).count()).sum();
-        println!("{len} daemons: {most:?} chosen, {most_shared:?} shared, {shared} ends");
-        assert!(most <= Some(10), "{len} daemons");
-        assert_eq!(choose_links(&view, "proxy-001"), plan.chosen("proxy-001"));
+        let snapshot = snapshot_of(fleet(len));
+        let plan = OverlayPlan::new(&snapshot);
+        let max_opened = snapshot.keys().map(|proxy| plan.opened_links(proxy).len()).max();
+        let max_shared = snapshot.keys().map(|proxy| plan.neighbours(proxy).count()).max();
+        let shared: usize = snapshot.keys().map(|proxy| plan.neighbours(proxy).count()).sum();
+        println!("{len} daemons: {max_opened:?} opened, {max_shared:?} shared, {shared} ends");
+        assert!(max_opened <= Some(10), "{len} daemons");
+        assert_eq!(choose_links(&snapshot, "proxy-001"), plan.opened_links("proxy-001"));
     }
 }
 
 #[test]
 fn small_diameter() {
-    let view = view_of(fleet(780));
-    let plan = OverlayPlan::new(&view);
-    let floods = view.keys().map(|proxy| flood(&plan, proxy, &BTreeSet::new()));
+    let snapshot = snapshot_of(fleet(780));
+    let plan = OverlayPlan::new(&snapshot);
+    let floods = snapshot.keys().map(|proxy| flood(&plan, proxy, &BTreeSet::new()));
     let floods: Vec<(usize, usize)> = floods.collect();
     let diameter = floods.iter().map(|(_, steps)| *steps).max();
     println!("diameter {diameter:?}");
@@ -63,7 +63,7 @@
 fn centre_lost() {
     for len in [27, 90, 780] {
         let records = fleet(len);
-        let plan = OverlayPlan::new(&view_of(records.clone()));
+        let plan = OverlayPlan::new(&snapshot_of(records.clone()));
         for centre in 0..9 {
             let is_lost = |record: &&Arc<MemberRecord>| record.data_centre == format!("dc{centre}");
             let down: Vec<_> = records.iter().filter(is_lost).cloned().collect();
@@ -80,7 +80,7 @@
 #[test]
 fn tenth_lost() {
     let records = fleet(780);
-    let plan = OverlayPlan::new(&view_of(records.clone()));
+    let plan = OverlayPlan::new(&snapshot_of(records.clone()));
     for seed in 0..100 {
         let mut shuffled = names(&records);
         shuffled.shuffle(&mut StdRng::seed_from_u64(seed));
@@ -94,13 +94,13 @@
 // links, two failures would look like a network cut of the region.
 #[test]
 fn disjoint_bridges() {
-    let view = view_of(fleet(780));
-    let plan = OverlayPlan::new(&view);
+    let snapshot = snapshot_of(fleet(780));
+    let plan = OverlayPlan::new(&snapshot);
     for centre in (0..9).map(|centre| format!("dc{centre}")) {
         let is_bridge = |proxy: &&String| {
-            let is_far = |next: &String| view[next].data_centre != centre;
-            view[*proxy].data_centre == centre && plan.neighbours(proxy).any(is_far)
+            let is_far = |next: &String| snapshot[next].data_centre != centre;
+            snapshot[*proxy].data_centre == centre && plan.neighbours(proxy).any(is_far)
         };
-        assert!(view.keys().filter(is_bridge).count() >= 6, "{centre}");
+        assert!(snapshot.keys().filter(is_bridge).count() >= 6, "{centre}");
     }
 }
--- a/components/member/tests/poll_order.rs
+++ b/components/member/tests/poll_order.rs
@@ -2,28 +2,28 @@
 
 use std::time::Duration;
 
-use sk_member::{FreshnessBook, FreshnessProof, LookOptions};
+use sk_member::{FreshnessProof, FreshnessTracker, PollOptions};
 
-const OPTIONS: LookOptions = LookOptions {
+const OPTIONS: PollOptions = PollOptions {
     relays: 1,
     stale_after: Duration::from_millis(1_400),
-    step: Duration::from_millis(100),
+    takeover_step: Duration::from_millis(100),
 };
 
 fn order() -> Vec<String> {
     (0..5).map(|position| format!("lj1-{position:02}")).collect()
 }
 
-fn book(position: usize) -> FreshnessBook {
+fn tracker(position: usize) -> FreshnessTracker {
     let order = order();
-    let mut book = FreshnessBook::new(&order[position], OPTIONS);
-    book.set_order(&order);
-    book
+    let mut tracker = FreshnessTracker::new(&order[position], OPTIONS);
+    tracker.set_poll_order(&order);
+    tracker
 }
 
-fn seen_by(position: usize, seen_ms: u64) -> FreshnessProof {
-    let looker = book(position).own();
-    FreshnessProof { looker, seen_at: at(seen_ms), history: 0 }
+fn polled_by(position: usize, polled_ms: u64) -> FreshnessProof {
+    let poller = tracker(position).own();
+    FreshnessProof { poller, polled_at: at(polled_ms), history: 0 }
 }
 
 fn at(millis: u64) -> Duration {
@@ -34,12 +34,15 @@
 /// on the source would grow with the fleet.
 #[test]
 fn only_relay_polls() {
-    assert_eq!(book(0).due_in(at(500)), Some(Duration::ZERO));
+    assert_eq!(tracker(0).poll_due_in(at(500)), Some(Duration::ZERO));
     for position in 1..5 {
-        let mut book = book(position);
+        let mut tracker = tracker(position);
         for now in (0..20_000).step_by(400) {
-            book.offer(seen_by(0, now), at(now + 300));
-            assert!(book.due_in(at(now + 690)).expect("a position") > Duration::ZERO, "{position}");
+            tracker.add_proof(polled_by(0, now), at(now + 300));
+            assert!(
+                tracker.poll_due_in(at(now + 690)).expect("a position") > Duration::ZERO,
+                "{position}"
+            );
         }
     }
 }
@@ -50,9 +53,9 @@
 fn takeover_in_order() {
     let dues: Vec<_> = (1..5)
         .map(|position| {
-            let mut book = book(position);
-            book.offer(seen_by(0, 1_000), at(1_200));
-            book.due_in(at(2_000)).expect("a position")
+            let mut tracker = tracker(position);
+            tracker.add_proof(polled_by(0, 1_000), at(1_200));
+            tracker.poll_due_in(at(2_000)).expect("a position")
         })
         .collect();
     assert_eq!(dues, [at(400), at(500), at(600), at(700)]);
@@ -62,30 +65,30 @@
 /// the first one reads the source again.
 #[test]
 fn later_daemons_wait() {
-    let (mut second, mut third) = (book(1), book(2));
-    for book in [&mut second, &mut third] {
-        book.offer(seen_by(0, 1_000), at(1_000));
-        book.offer(seen_by(1, 2_500), at(2_600));
+    let (mut second, mut third) = (tracker(1), tracker(2));
+    for tracker in [&mut second, &mut third] {
+        tracker.add_proof(polled_by(0, 1_000), at(1_000));
+        tracker.add_proof(polled_by(1, 2_500), at(2_600));
     }
-    assert_eq!(second.due_in(at(2_600)), Some(Duration::ZERO));
-    assert_eq!(third.due_in(at(2_600)), Some(at(1_400)));
-    second.offer(seen_by(0, 2_700), at(2_800));
-    assert_eq!(second.due_in(at(2_800)), Some(at(1_300)));
+    assert_eq!(second.poll_due_in(at(2_600)), Some(Duration::ZERO));
+    assert_eq!(third.poll_due_in(at(2_600)), Some(at(1_400)));
+    second.add_proof(polled_by(0, 2_700), at(2_800));
+    assert_eq!(second.poll_due_in(at(2_800)), Some(at(1_300)));
 }
 
 /// A proof of a daemon later in the order must not replace that of an earlier one: the daemon that
 /// took over would never learn that the first one polls again, and both would poll for good.
 #[test]
 fn earlier_poller_preferred() {
-    let mut book = book(3);
-    book.offer(seen_by(0, 2_000), at(2_100));
-    book.offer(seen_by(1, 2_400), at(2_500));
-    assert_eq!(book.held(), Some(seen_by(0, 2_000)));
+    let mut tracker = tracker(3);
+    tracker.add_proof(polled_by(0, 2_000), at(2_100));
+    tracker.add_proof(polled_by(1, 2_400), at(2_500));
+    assert_eq!(tracker.proof(), Some(polled_by(0, 2_000)));
     // Once the kept proof is stale, any fresh one replaces it.
-    book.offer(seen_by(1, 3_300), at(3_450));
-    assert_eq!(book.held(), Some(seen_by(1, 3_300)));
-    assert!(!book.is_stale(at(3_500)));
-    assert!(book.is_stale(at(4_700)));
+    tracker.add_proof(polled_by(1, 3_300), at(3_450));
+    assert_eq!(tracker.proof(), Some(polled_by(1, 3_300)));
+    assert!(!tracker.is_stale(at(3_500)));
+    assert!(tracker.is_stale(at(4_700)));
 }
 
 /// A daemon was paused, and heartbeats from that time wait to be read. Their ages do not include
@@ -93,20 +96,20 @@
 /// whole data centre may have been paused together.
 #[test]
 fn after_pause() {
-    let mut book = book(1);
-    book.offer(seen_by(0, 1_000), at(1_000));
-    book.restart(at(9_000));
-    assert_eq!(book.held(), None);
-    assert_eq!(book.due_in(at(9_000)), Some(at(1_400)));
+    let mut tracker = tracker(1);
+    tracker.add_proof(polled_by(0, 1_000), at(1_000));
+    tracker.reset(at(9_000));
+    assert_eq!(tracker.proof(), None);
+    assert_eq!(tracker.poll_due_in(at(9_000)), Some(at(1_400)));
 }
 
 /// A daemon that leaves is not in the order any more, and the next one polls at once.
 #[test]
 fn relay_leaves() {
-    let (mut first, mut second) = (book(0), book(1));
+    let (mut first, mut second) = (tracker(0), tracker(1));
     let rest = order().split_off(1);
-    first.set_order(&rest);
-    second.set_order(&rest);
-    assert_eq!(first.due_in(at(1_000)), None);
-    assert_eq!(second.due_in(at(1_000)), Some(Duration::ZERO));
+    first.set_poll_order(&rest);
+    second.set_poll_order(&rest);
+    assert_eq!(first.poll_due_in(at(1_000)), None);
+    assert_eq!(second.poll_due_in(at(1_000)), Some(Duration::ZERO));
 }
--- a/components/member/tests/push_tree.rs
+++ b/components/member/tests/push_tree.rs
@@ -4,13 +4,17 @@
 
 use std::collections::BTreeSet;
 
-use sk_member::{MemberView, PushTree, push_targets};
-use support::{fleet, view_of};
+use sk_member::{MemberSnapshot, PushTree, push_targets};
+use support::{fleet, snapshot_of};
 
 /// Simulates a push from the root; a daemon whose child does not answer sends to the children of
 /// that child. Returns the daemons reached and the number of steps.
-fn push(view: &MemberView, root: &str, down: &BTreeSet<String>) -> (BTreeSet<String>, usize) {
-    let tree = PushTree::new(view, &view[root].data_centre, root, 4);
+fn push(
+    snapshot: &MemberSnapshot,
+    root: &str,
+    down: &BTreeSet<String>,
+) -> (BTreeSet<String>, usize) {
+    let tree = PushTree::new(snapshot, &snapshot[root].data_centre, root, 4);
     let mut reached = BTreeSet::from([root.to_owned()]);
     let mut level = vec![root.to_owned()];
     let mut steps = 0;
@@ -33,23 +37,23 @@
 
 #[test]
 fn all_reached() {
-    let view = view_of(fleet(780));
-    let (reached, steps) = push(&view, "proxy-004", &BTreeSet::new());
-    let members = view.values().filter(|record| record.data_centre == "dc4");
+    let snapshot = snapshot_of(fleet(780));
+    let (reached, steps) = push(&snapshot, "proxy-004", &BTreeSet::new());
+    let members = snapshot.values().filter(|record| record.data_centre == "dc4");
     assert_eq!(reached.len(), members.count());
     assert!(steps <= 4, "{steps} steps");
-    assert_eq!(push_targets(&view, "proxy-004", "proxy-004", 4).len(), 4);
-    assert_eq!(push_targets(&view, "nobody", "proxy-004", 4), Vec::<String>::new());
+    assert_eq!(push_targets(&snapshot, "proxy-004", "proxy-004", 4).len(), 4);
+    assert_eq!(push_targets(&snapshot, "nobody", "proxy-004", 4), Vec::<String>::new());
 }
 
 // Daemons fail during a push. Those behind them in the tree would wait for the slower repair.
 #[test]
 fn failed_children_replaced() {
-    let view = view_of(fleet(780));
-    let tree = PushTree::new(&view, "dc4", "proxy-004", 4);
+    let snapshot = snapshot_of(fleet(780));
+    let tree = PushTree::new(&snapshot, "dc4", "proxy-004", 4);
     let mut down: BTreeSet<String> = tree.children("proxy-004").into_iter().take(2).collect();
     down.extend(down.clone().iter().flat_map(|proxy| tree.children(proxy)).step_by(3));
-    let (reached, _) = push(&view, "proxy-004", &down);
-    let members = view.values().filter(|record| record.data_centre == "dc4");
+    let (reached, _) = push(&snapshot, "proxy-004", &down);
+    let members = snapshot.values().filter(|record| record.data_centre == "dc4");
     assert_eq!(reached.len(), members.count() - down.len());
 }
--- a/components/member/tests/record_digest.rs
+++ b/components/member/tests/record_digest.rs
@@ -23,14 +23,14 @@
     let mut second = first.clone();
     let changed = record("proxy-100", 2_000, 1, MemberStatus::Alive);
     second.merge(changed.clone());
-    let buckets = first.digest().differing(second.digest());
+    let buckets = first.digest().differing_buckets(second.digest());
     assert_eq!(buckets, [bucket_of("proxy-100")]);
     let records = second.records_in(&buckets);
     assert!(records.len() < 60, "{} records", records.len());
     records.into_iter().for_each(|record| _ = first.merge(record));
     assert_eq!(first.digest(), second.digest());
     let sent = MemberDigest::from_buckets(second.digest().buckets().iter().copied());
-    assert!(first.digest().differing(&sent).is_empty());
+    assert!(first.digest().differing_buckets(&sent).is_empty());
 }
 
 #[test]
@@ -53,14 +53,14 @@
     let mut table = own_table_with("own", 50);
     let late = table.records()["proxy-002"].clone();
     table.declare_gone("proxy-002", 1_000, 1);
-    table.expire(minutes(0));
-    assert_eq!(table.expire(minutes(11)), 0);
+    table.expire_tombstones(minutes(0));
+    assert_eq!(table.expire_tombstones(minutes(11)), 0);
     assert!(shared(&table).iter().all(|record| record.proxy != "proxy-002"));
     let digest = table.digest().clone();
     table.merge(late.clone());
     assert_eq!(table.records()["proxy-002"].status, MemberStatus::Gone);
     assert_eq!(table.digest(), &digest);
-    assert_eq!(table.expire(minutes(61)), 1);
+    assert_eq!(table.expire_tombstones(minutes(61)), 1);
     assert!(!table.records().contains_key("proxy-002"));
     assert_eq!(table.digest(), &digest, "removing a withheld record leaves the digest unchanged");
 }
@@ -72,7 +72,7 @@
     let mut table = own_table_with("own", 0);
     for index in 0..3_000 {
         table.merge(record(&format!("old-{index}"), 1, 0, MemberStatus::Gone));
-        table.expire(Duration::from_secs(index));
+        table.expire_tombstones(Duration::from_secs(index));
     }
     assert!(table.records().len() <= 1_025, "{} records", table.records().len());
 }
--- a/components/member/tests/record_merge.rs
+++ b/components/member/tests/record_merge.rs
@@ -156,7 +156,7 @@
         incarnation: 1,
         sequence,
         observer: "b".to_owned(),
-        round: 1,
+        number: 1,
         is_withdrawn,
     };
     assert!(!table.refute(&suspicion(4, true)));
--- a/components/member/tests/rumor_queue.rs
+++ b/components/member/tests/rumor_queue.rs
@@ -11,7 +11,7 @@
     let mut queue = RumorQueue::new();
     for link in ["b", "c"] {
         queue.add_link(link.to_owned());
-        assert!(queue.take_repair(&link.to_owned()), "a new link starts with a comparison");
+        assert!(queue.take_digest_request(&link.to_owned()), "a new link starts with a comparison");
     }
     queue
 }
@@ -57,8 +57,8 @@
         queue.push(&record_rumor(&format!("proxy-{index}"), 1), None);
         assert!(queue.pending(&b) <= 2_048);
     }
-    assert!(queue.take_repair(&b));
-    assert!(!queue.take_repair(&b), "requested once");
-    queue.mark_failed(&b);
-    assert!(queue.take_repair(&b));
+    assert!(queue.take_digest_request(&b));
+    assert!(!queue.take_digest_request(&b), "requested once");
+    queue.request_digest(&b);
+    assert!(queue.take_digest_request(&b));
 }
--- a/components/member/tests/server_heartbeats.rs
+++ b/components/member/tests/server_heartbeats.rs
@@ -2,12 +2,17 @@
 
 use std::time::Duration;
 
-use sk_member::{EndpointStatus, HeartbeatBook, HeartbeatVerdict, ServerHeartbeat};
+use sk_member::{EndpointStatus, HeartbeatFilter, HeartbeatStatus, ServerHeartbeat};
 
-fn beat(name: &str, born: u64, sequence: u64, status: EndpointStatus) -> ServerHeartbeat {
+fn heartbeat(
+    name: &str,
+    started_at: u64,
+    sequence: u64,
+    status: EndpointStatus,
+) -> ServerHeartbeat {
     ServerHeartbeat {
         name: name.to_owned(),
-        born,
+        started_at,
         sequence,
         service: "/t/s".to_owned(),
         address: "127.0.0.1:80".parse().expect("an address"),
@@ -17,8 +22,8 @@
     }
 }
 
-fn ready(name: &str, born: u64, sequence: u64) -> ServerHeartbeat {
-    beat(name, born, sequence, EndpointStatus::Ready)
+fn ready(name: &str, started_at: u64, sequence: u64) -> ServerHeartbeat {
+    heartbeat(name, started_at, sequence, EndpointStatus::Ready)
 }
 
 fn at(seconds: u64) -> Duration {
@@ -28,47 +33,50 @@
 /// Heartbeats arrive out of order. An older one must not undo what a newer one reported.
 #[test]
 fn outdated_ignored() {
-    let mut book = HeartbeatBook::default();
-    assert_eq!(book.judge(&ready("a", 5, 2), at(1)), HeartbeatVerdict::News);
-    assert_eq!(book.judge(&ready("a", 5, 2), at(1)), HeartbeatVerdict::Stale);
-    assert_eq!(book.judge(&ready("a", 5, 1), at(1)), HeartbeatVerdict::Stale);
-    assert_eq!(book.judge(&ready("a", 4, 9), at(1)), HeartbeatVerdict::Stale);
+    let mut filter = HeartbeatFilter::default();
+    assert_eq!(filter.classify(&ready("a", 5, 2), at(1)), HeartbeatStatus::Current);
+    assert_eq!(filter.classify(&ready("a", 5, 2), at(1)), HeartbeatStatus::Stale);
+    assert_eq!(filter.classify(&ready("a", 5, 1), at(1)), HeartbeatStatus::Stale);
+    assert_eq!(filter.classify(&ready("a", 4, 9), at(1)), HeartbeatStatus::Stale);
     // A drain takes effect even if its heartbeat arrives late.
-    let drain = beat("a", 5, 1, EndpointStatus::Draining);
-    assert_eq!(book.judge(&drain, at(1)), HeartbeatVerdict::News);
-    assert_eq!(book.judge(&ready("a", 5, 3), at(2)), HeartbeatVerdict::News);
+    let drain = heartbeat("a", 5, 1, EndpointStatus::Draining);
+    assert_eq!(filter.classify(&drain, at(1)), HeartbeatStatus::Current);
+    assert_eq!(filter.classify(&ready("a", 5, 3), at(2)), HeartbeatStatus::Current);
 }
 
 /// A process that was presumed dead sends one more heartbeat after another one took over its
 /// address. Callers would be sent to an address at which another process answers.
 #[test]
 fn replaced_process() {
-    let mut book = HeartbeatBook::default();
-    book.judge(&ready("new", 50, 1), at(10));
-    assert_eq!(book.judge(&ready("old", 40, 7), at(11)), HeartbeatVerdict::Stale);
+    let mut filter = HeartbeatFilter::default();
+    filter.classify(&ready("new", 50, 1), at(10));
+    assert_eq!(filter.classify(&ready("old", 40, 7), at(11)), HeartbeatStatus::Stale);
     // A clock that was set back must not keep a server out of service once its predecessor is
     // silent.
-    assert_eq!(book.judge(&ready("later", 45, 1), at(20)), HeartbeatVerdict::News);
+    assert_eq!(filter.classify(&ready("later", 45, 1), at(20)), HeartbeatStatus::Current);
 }
 
 /// A server reports its leave to a daemon that has just started, and one of its heartbeats arrives
 /// after that.
 #[test]
 fn leave_before_heartbeat() {
-    let mut book = HeartbeatBook::default();
-    assert_eq!(book.leave("a", 1_000, at(1)), None);
-    assert_eq!(book.judge(&ready("a", 900, 4), at(2)), HeartbeatVerdict::Stale);
-    assert_eq!(book.judge(&ready("a", 1_500, 1), at(3)), HeartbeatVerdict::News);
-    assert_eq!(book.leave("a", 2_000, at(4)).as_deref(), Some("a:1500"));
-    assert_eq!(book.judge(&ready("a", 1_500, 9), at(5)), HeartbeatVerdict::Stale);
+    let mut filter = HeartbeatFilter::default();
+    assert_eq!(filter.record_leave("a", 1_000, at(1)), None);
+    assert_eq!(filter.classify(&ready("a", 900, 4), at(2)), HeartbeatStatus::Stale);
+    assert_eq!(filter.classify(&ready("a", 1_500, 1), at(3)), HeartbeatStatus::Current);
+    assert_eq!(filter.record_leave("a", 2_000, at(4)).as_deref(), Some("a:1500"));
+    assert_eq!(filter.classify(&ready("a", 1_500, 9), at(5)), HeartbeatStatus::Stale);
 }
 
 #[test]
 fn memory_bounded() {
-    let mut book = HeartbeatBook::default();
+    let mut filter = HeartbeatFilter::default();
     for index in 0..1_000 {
         let name = format!("server{index}");
-        assert_eq!(book.judge(&ready(&name, index + 1, 1), at(index)), HeartbeatVerdict::News);
+        assert_eq!(
+            filter.classify(&ready(&name, index + 1, 1), at(index)),
+            HeartbeatStatus::Current
+        );
     }
-    assert!(format!("{book:?}").len() < 64 * 200);
+    assert!(format!("{filter:?}").len() < 64 * 200);
 }
--- a/components/member/tests/support/mod.rs
+++ b/components/member/tests/support/mod.rs
@@ -7,7 +7,7 @@
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
 
-use sk_member::{EndpointRecord, EndpointStatus, MemberRecord, MemberStatus, MemberView};
+use sk_member::{EndpointRecord, EndpointStatus, MemberRecord, MemberSnapshot, MemberStatus};
 
 pub fn record(proxy: &str, incarnation: u64, sequence: u64, status: MemberStatus) -> MemberRecord {
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
@@ -47,7 +47,7 @@
     (0..len).map(member).collect()
 }
 
-pub fn view_of(records: impl IntoIterator<Item = Arc<MemberRecord>>) -> MemberView {
+pub fn snapshot_of(records: impl IntoIterator<Item = Arc<MemberRecord>>) -> MemberSnapshot {
     let named = records.into_iter().map(|record| (record.proxy.clone(), record));
     Arc::new(named.collect::<BTreeMap<_, _>>())
 }
--- a/components/member/tests/support/naive.rs
+++ b/components/member/tests/support/naive.rs
@@ -11,7 +11,7 @@
 
 use super::{
     network::{FakeBelief, FakeMessage, FakePolicy},
-    view_of,
+    snapshot_of,
 };
 
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -48,12 +48,12 @@
 impl FakePolicy for NaiveNode {
     fn start(own: Arc<MemberRecord>, known: &[Arc<MemberRecord>]) -> Self {
         let all = known.iter().chain([&own]).cloned();
-        let records = BTreeMap::clone(&view_of(all.clone()));
-        let view = view_of(all);
-        let mut links: BTreeSet<String> = choose_links(&view, &own.proxy).into_iter().collect();
+        let records = BTreeMap::clone(&snapshot_of(all.clone()));
+        let snapshot = snapshot_of(all);
+        let mut links: BTreeSet<String> = choose_links(&snapshot, &own.proxy).into_iter().collect();
         let links_to_own =
-            |proxy: &&String| choose_links(&view, proxy).iter().any(|link| *link == own.proxy);
-        links.extend(view.keys().filter(links_to_own).cloned());
+            |proxy: &&String| choose_links(&snapshot, proxy).iter().any(|link| *link == own.proxy);
+        links.extend(snapshot.keys().filter(links_to_own).cloned());
         let heard = links.iter().map(|link| (link.clone(), Duration::ZERO)).collect();
         Self { own, records, heard, links, sent: Vec::new() }
     }
--- a/components/member/tests/support/node.rs
+++ b/components/member/tests/support/node.rs
@@ -3,8 +3,8 @@
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
 use sk_member::{
-    LivenessMonitor, LocalMark, MemberRecord, MemberRumor, MemberStatus, MemberTable, MemberView,
-    MergeOutcome, MonitorEvent, MonitorOptions, RumorQueue,
+    LivenessMonitor, LocalReachability, MemberRecord, MemberRumor, MemberSnapshot, MemberStatus,
+    MemberTable, MergeOutcome, MonitorEvent, MonitorOptions, RumorQueue,
 };
 
 use super::network::{FakeBelief, FakeMessage, FakePolicy};
@@ -16,15 +16,15 @@
     pub suspected: Vec<String>,
     monitor: LivenessMonitor,
     queue: RumorQueue,
-    view: MemberView,
+    snapshot: MemberSnapshot,
     neighbours: BTreeSet<String>,
     replies: Vec<(String, FakeMessage)>,
 }
 
 impl MemberNode {
     fn publish(&mut self, now: Duration) {
-        self.view = Arc::new(self.table.records().clone());
-        let plan = self.monitor.plan(&self.view);
+        self.snapshot = Arc::new(self.table.records().clone());
+        let plan = self.monitor.plan(&self.snapshot);
         let own = &self.table.own().proxy;
         let wanted: BTreeSet<String> = plan.neighbours(own).cloned().collect();
         for link in self.neighbours.difference(&wanted) {
@@ -63,7 +63,7 @@
 
     fn apply_event(&mut self, event: MonitorEvent, now: Duration) {
         match event {
-            MonitorEvent::Spread(suspicion) => {
+            MonitorEvent::SendSuspicion(suspicion) => {
                 if !suspicion.is_withdrawn {
                     self.suspected.push(suspicion.proxy.clone());
                 }
@@ -74,7 +74,7 @@
                     self.publish(now);
                 }
             }
-            MonitorEvent::Marked(_) => (),
+            MonitorEvent::MarksChanged(_) => (),
             MonitorEvent::Paused(_) => {
                 self.table.withdraw_endpoints();
                 self.spread_own(now);
@@ -93,7 +93,7 @@
         let mut node = Self {
             monitor: LivenessMonitor::new(own.proxy.clone(), own.incarnation, options),
             queue: RumorQueue::new(),
-            view: MemberView::default(),
+            snapshot: MemberSnapshot::default(),
             neighbours: BTreeSet::new(),
             replies: Vec::new(),
             suspected: Vec::new(),
@@ -108,15 +108,15 @@
     }
 
     fn heard(&mut self, from: &str, now: Duration) {
-        self.monitor.heard(from, now);
+        self.monitor.record_heard(from, now);
     }
 
     fn connection_reset(&mut self, from: &str, now: Duration) {
-        self.monitor.lost(from, now);
+        self.monitor.record_reset(from, now);
     }
 
     fn tick(&mut self, now: Duration) {
-        for event in self.monitor.tick(&self.view.clone(), now) {
+        for event in self.monitor.tick(&self.snapshot.clone(), now) {
             self.apply_event(event, now);
         }
     }
@@ -129,12 +129,12 @@
                 self.spread_own(now)
             }
             FakeMessage::Suspicion(suspicion)
-                if suspicion.proxy != own && self.monitor.note(suspicion.clone(), now) =>
+                if suspicion.proxy != own && self.monitor.add_suspicion(suspicion.clone(), now) =>
             {
                 self.queue.push(&MemberRumor::Suspicion(suspicion), Some(&from.to_owned()));
             }
             FakeMessage::Digest(digest) => {
-                let buckets = self.table.digest().differing(&digest);
+                let buckets = self.table.digest().differing_buckets(&digest);
                 let records = self.table.records_in(&buckets);
                 let reply = FakeMessage::Records(records, buckets, true);
                 self.replies.push((from.to_owned(), reply));
@@ -154,7 +154,7 @@
     fn outgoing(&mut self) -> Vec<(String, FakeMessage)> {
         let mut sent = std::mem::take(&mut self.replies);
         for link in &self.neighbours {
-            if self.queue.take_repair(link) {
+            if self.queue.take_digest_request(link) {
                 sent.push((link.clone(), FakeMessage::Digest(self.table.digest().clone())));
             }
             sent.extend(self.queue.take(link, BATCH_SIZE).into_iter().map(|rumor| {
@@ -183,7 +183,7 @@
             None => FakeBelief::Unknown,
             Some(MemberStatus::Gone) => FakeBelief::Gone,
             Some(MemberStatus::Leaving) => FakeBelief::Avoided,
-            Some(_) if mark == Some(&LocalMark::Unreachable) => FakeBelief::Avoided,
+            Some(_) if mark == Some(&LocalReachability::Unreachable) => FakeBelief::Avoided,
             Some(_) => FakeBelief::Usable,
         }
     }
