--- a/components/proxy/src/attempt.rs
+++ b/components/proxy/src/attempt.rs
@@ -8,7 +8,7 @@
 use http_body_util::BodyExt;
 use hyper::body::Body;
 use sk_decide::{
-    deadline::{BODY_GRACE, DescendError},
+    deadline::{BODY_GRACE, NextHopError},
     placing::{CallOutcome, EndpointId, PlaceRequest, PlacedCall},
     retrying::{FailedAttempt, GiveUpReason, RetryVerdict, RunOutcome, may_retry},
 };
@@ -68,10 +68,10 @@
                 .unwrap_or_else(|| count_own_refusal(context, refuse(RefusalKind::NoEndpoint)));
         };
         let elapsed = request.began.elapsed();
-        let terms = match request.call.descend(elapsed, history.retries) {
-            Ok(context) => AttemptTerms { context, elapsed, most_wait: placed.most_wait() },
+        let terms = match request.call.next_hop(elapsed, history.retries) {
+            Ok(context) => AttemptTerms { context, elapsed, max_wait: placed.max_wait() },
             Err(err) => {
-                return last.unwrap_or_else(|| count_own_refusal(context, refuse_descent(err)));
+                return last.unwrap_or_else(|| count_own_refusal(context, refuse_next_hop(err)));
             }
         };
         let (Some(endpoint), Some(body)) =
@@ -91,11 +91,11 @@
         record_size(service, request, &response);
         if RefusalKind::read(response.headers()) == Some(RefusalKind::Busy) {
             let took = history.running.take().map(|running| running.began.elapsed());
-            history.search.note_busy(id, took.unwrap_or_default(), request.traits.goal);
+            history.search.exclude_busy(id, took.unwrap_or_default(), request.traits.goal);
             last = Some(response);
             continue;
         }
-        history.search.note_tried(id);
+        history.search.exclude(id);
         let failure = match evaluate_answer(
             context,
             service,
@@ -112,7 +112,7 @@
                 history.gave_up = Some(reason);
                 return failure.response;
             }
-            RetryVerdict::Move => history.moves += 1,
+            RetryVerdict::FreeMove => history.free_moves += 1,
             RetryVerdict::Retry(wait) => {
                 context.counters.count_retry();
                 history.retries += 1;
@@ -133,13 +133,13 @@
 fn record_hints(service: &TableService, id: EndpointId, hints: &ReadHints) {
     let now = process_now();
     if let Some(percent) = hints.load {
-        service.placement.hint(id, f64::from(percent.min(100)) / 100.0, now);
+        service.placement.record_load(id, f64::from(percent.min(100)) / 100.0, now);
     }
     if let Some(wait) = hints.wait {
-        service.placement.note_wait(id, wait, now);
+        service.placement.record_wait(id, wait, now);
     }
     if let Some(permille) = hints.failure_permille {
-        service.placement.note_failing(id, f64::from(permille) / 1000.0, now);
+        service.placement.record_failure_rate(id, f64::from(permille) / 1000.0, now);
     }
 }
 
@@ -148,7 +148,7 @@
     if let Some(bytes) =
         response.body().size_hint().exact().filter(|_| response.status().is_success())
     {
-        service.placement.note_size(request.traits.work, bytes);
+        service.placement.record_size(request.traits.work, bytes);
     }
 }
 
@@ -161,25 +161,25 @@
     let may_probe = request.traits.is_repeatable && request.body.is_whole();
     let exclude = history.search.excluded();
     let may_queue_at_once = request.traits.class == WorkClass::Long || !request.body.is_whole();
-    let wants_slot =
-        history.search.wants_slot(service.placement.settings().order, may_queue_at_once);
+    let needs_free_slot =
+        history.search.needs_free_slot(service.placement.settings().order, may_queue_at_once);
     let class = request.traits.class;
     let goal = request.goal_remaining();
     let work = request.traits.work;
     let bytes = request.body.sample().len() as u64 + service.placement.usual_size(work);
     let wanted =
-        PlaceRequest { class, work, bytes, exclude: &exclude, may_probe, wants_slot, goal };
+        PlaceRequest { class, work, bytes, exclude: &exclude, may_probe, needs_free_slot, goal };
     service.placement.choose(&wanted, process_now(), &mut rand::rng()).ok()
 }
 
 /// Returns the refusal of a call that may not be passed on: too many hops or too little time.
-fn refuse_descent(err: DescendError) -> Response<ProxyBody> {
+fn refuse_next_hop(err: NextHopError) -> Response<ProxyBody> {
     match err {
-        DescendError::HopLimit(hops) => {
+        NextHopError::HopLimit(hops) => {
             log::warn!("proxy: a call has taken {hops} hops; the routes may form a loop.");
             refuse(RefusalKind::HopLimit)
         }
-        DescendError::Expired(_) => refuse(RefusalKind::DeadlineTooNear),
+        NextHopError::Expired(_) => refuse(RefusalKind::DeadlineTooNear),
     }
 }
 
@@ -247,7 +247,7 @@
         return AttemptEnd::Answered(response);
     };
     if RefusalKind::read(response.headers()).is_some_and(RefusalKind::is_capacity_refusal) {
-        history.search.note_refused(running.began.elapsed());
+        history.search.add_refusal_time(running.began.elapsed());
     }
     // An answer without the header comes from a layer below the guard, which may have passed the
     // request on.
@@ -286,7 +286,7 @@
 /// caller that received the failure would have to send the request again itself.
 fn is_worth_retrying(service: &TableService, request: &EntryRequest, status: StatusCode) -> bool {
     status == StatusCode::INTERNAL_SERVER_ERROR
-        && service.budget.settings().again_after_failure
+        && service.budget.settings().retries_server_failures
         && can_meet_goal(service, request)
         && service.failure_budget.take(process_now())
 }
@@ -343,7 +343,7 @@
 ) -> RetryVerdict {
     // A server that is too slow for the remaining time says nothing about a faster one.
     let may_move = failure.kind == Some(RefusalKind::DeadlineTooNear)
-        && history.moves < service.budget.settings().free_moves
+        && history.free_moves < service.budget.settings().free_moves
         && can_meet_goal(service, request);
     if !failure.kind.is_none_or(RefusalKind::is_endpoint_specific) && !may_move {
         return RetryVerdict::GiveUp(GiveUpReason::Final);
@@ -352,18 +352,18 @@
         return RetryVerdict::GiveUp(GiveUpReason::BodySent);
     }
     if failure.kind.is_some_and(RefusalKind::is_capacity_refusal)
-        && history.search.is_long(request.traits.goal)
+        && history.search.has_refused_too_long(request.traits.goal)
     {
-        return RetryVerdict::GiveUp(GiveUpReason::RefusedLong);
+        return RetryVerdict::GiveUp(GiveUpReason::RefusalsTooSlow);
     }
     if request.max_attempts.is_some_and(|most| history.server_attempts >= most) {
-        return RetryVerdict::GiveUp(GiveUpReason::ServersSpent);
+        return RetryVerdict::GiveUp(GiveUpReason::ServerLimitReached);
     }
     let attempt = FailedAttempt {
         outcome: failure.outcome,
         is_repeatable: request.traits.is_repeatable,
         own_retries: history.retries,
-        moves: history.moves,
+        own_free_moves: history.free_moves,
         retried_above: request.call.retried_above,
         remaining: request.remaining(),
         expected: Duration::ZERO,
@@ -372,10 +372,10 @@
     match verdict {
         RetryVerdict::GiveUp(reason) => {
             context.counters.count_denied();
-            service.record_budget_state(reason == GiveUpReason::BudgetSpent);
+            service.record_budget_state(reason == GiveUpReason::RetryBudgetEmpty);
         }
         RetryVerdict::Retry(_) => service.record_budget_state(false),
-        RetryVerdict::Move => {}
+        RetryVerdict::FreeMove => {}
     }
     verdict
 }
--- a/components/proxy/src/attempt_history.rs
+++ b/components/proxy/src/attempt_history.rs
@@ -7,7 +7,7 @@
 use sk_decide::{
     placing::{CallOutcome, PlacedCall},
     retrying::GiveUpReason,
-    seeking::SlotSearch,
+    slot_search::SlotSearch,
 };
 use tokio::time::Instant;
 
@@ -28,7 +28,7 @@
     pub(crate) search: SlotSearch,
     pub(crate) retries: u8,
     /// Attempts that no server accepted and that were repeated elsewhere outside the retry budget.
-    pub(crate) moves: u8,
+    pub(crate) free_moves: u8,
     /// Attempts that reached a server, or may have.
     pub(crate) server_attempts: u8,
     /// Whether an attempt that ended may have run.
@@ -56,7 +56,7 @@
                 took,
             ));
             let transit = hints.guard_time.map(|guard_time| took.saturating_sub(guard_time));
-            running.placed.note_head(transit, process_now());
+            running.placed.record_head(transit, process_now());
         }
     }
 
--- a/components/proxy/src/call.rs
+++ b/components/proxy/src/call.rs
@@ -12,7 +12,7 @@
     admitting::{CallerKey, FlowKey, TeamKey},
     deadline::CallContext,
     quarantine::Fingerprint,
-    trip::{ClockId, LinkOpening, TripClocks},
+    transit_time::{ClockId, LinkOpening, TransitClocks},
 };
 use sk_model::WorkClass;
 use subtle::ConstantTimeEq;
@@ -53,7 +53,8 @@
     /// Kind of work, by which service times are estimated.
     pub(crate) work: WorkKey,
     /// Longest wait for a slot in microseconds, unbounded if `None`.
-    most_wait_us: Option<u64>,
+    #[serde(rename = "most_wait_us")]
+    max_wait_us: Option<u64>,
     /// The sender's clock, and the time of sending by it in microseconds; zero until the call is
     /// sent.
     clock: ClockId,
@@ -113,7 +114,7 @@
     /// Time since the request arrived.
     pub(crate) elapsed: Duration,
     /// Longest wait for a slot, unbounded if `None`.
-    pub(crate) most_wait: Option<Duration>,
+    pub(crate) max_wait: Option<Duration>,
 }
 
 impl GuardCall {
@@ -142,7 +143,7 @@
             goal_us: goal.map(whole_micros),
             rank: traits.rank,
             work: traits.work,
-            most_wait_us: terms.most_wait.map(whole_micros),
+            max_wait_us: terms.max_wait.map(whole_micros),
             clock: clock_id(),
             sent_us: 0,
             opening: None,
@@ -163,13 +164,14 @@
     /// [`transit_now`], which also runs while the instance is suspended.
     pub(crate) fn mark_received(
         &mut self,
-        clocks: &mut TripClocks,
+        clocks: &mut TransitClocks,
         accepted_at: Duration,
     ) -> Duration {
         if let Some(opening) = self.opening {
-            clocks.note_opening(self.clock, opening.into(), accepted_at);
+            clocks.record_opening(self.clock, opening.into(), accepted_at);
         }
-        let delay = clocks.note(self.clock, Duration::from_micros(self.sent_us), transit_now());
+        let delay =
+            clocks.record_message(self.clock, Duration::from_micros(self.sent_us), transit_now());
         self.deduct(delay);
         delay
     }
@@ -196,8 +198,8 @@
     }
 
     /// Returns the longest wait for a slot, unbounded if `None`.
-    pub(crate) fn most_wait(&self) -> Option<Duration> {
-        self.most_wait_us.map(Duration::from_micros)
+    pub(crate) fn max_wait(&self) -> Option<Duration> {
+        self.max_wait_us.map(Duration::from_micros)
     }
 
     /// Returns the team and caller that the request is counted against.
--- a/components/proxy/src/clock.rs
+++ b/components/proxy/src/clock.rs
@@ -7,7 +7,7 @@
 
 use rustix::time::{ClockId as SystemClock, clock_gettime};
 use sha2::{Digest, Sha256};
-use sk_decide::trip::ClockId;
+use sk_decide::transit_time::ClockId;
 
 /// Offset of one second, so that no reading is zero: a guard treats a start at zero as that of a
 /// warm server.
--- a/components/proxy/src/context.rs
+++ b/components/proxy/src/context.rs
@@ -4,7 +4,7 @@
 
 use arc_swap::ArcSwapOption;
 use http::Response;
-use sk_decide::trip::TripClocks;
+use sk_decide::transit_time::TransitClocks;
 use sk_model::ServiceName;
 
 use crate::{
@@ -53,7 +53,7 @@
     /// Failed calls of the server, for the log lines of the requests for which it made them.
     pub failed_calls: FailedCalls,
     /// Clocks of the sending daemons, by which transit delays are estimated.
-    pub trips: Mutex<TripClocks>,
+    pub trips: Mutex<TransitClocks>,
     /// Time by which this daemon must have answered, once it stops.
     pub drain: Arc<DrainClock>,
 }
--- a/components/proxy/src/exchange.rs
+++ b/components/proxy/src/exchange.rs
@@ -11,7 +11,7 @@
 use sk_decide::{
     backoff::draw_between,
     deadline::{BODY_GRACE, CallContext},
-    idling::STALE_LEAST,
+    idle_limit::MIN_STALE_IDLE,
 };
 use tokio::time::Instant;
 
@@ -152,7 +152,7 @@
                 }
                 None => {
                     let err = err.into_error();
-                    let idle = idle.filter(|idle| *idle >= STALE_LEAST && !err.is_user());
+                    let idle = idle.filter(|idle| *idle >= MIN_STALE_IDLE && !err.is_user());
                     if let Some(idle) = idle {
                         server.pool.record_stale(idle);
                     }
--- a/components/proxy/src/gate.rs
+++ b/components/proxy/src/gate.rs
@@ -10,7 +10,7 @@
 
 use sk_decide::{
     admitting::{
-        Admission, AdmissionGuard, GuardRequest, GuardSettings, GuardState, LinkAhead, Refusal,
+        Admission, AdmissionGuard, GuardRequest, GuardSettings, GuardState, LinkBacklog, Refusal,
         RefusalReason, Released, Ticket,
     },
     quarantine::Fingerprint,
@@ -103,7 +103,7 @@
     pub(crate) fn consider_upload(
         &self,
         request: &GuardRequest,
-        link: &LinkAhead,
+        link: &LinkBacklog,
     ) -> Result<(), Refusal> {
         self.lock().guard.consider_upload(request, link, process_now(), &mut rand::rng())
     }
@@ -129,7 +129,7 @@
     /// Sets how many large answers wait for the link.
     pub(crate) fn set_waiting_answers(&self, answers: usize) {
         let mut state = self.lock();
-        let released = state.guard.set_held_back(answers, process_now());
+        let released = state.guard.set_waiting_answers(answers, process_now());
         state.deliver(released);
     }
 
@@ -165,7 +165,7 @@
         request: &GuardRequest,
     ) -> Result<(AdmitPermit, Option<WaitReceiver>), Refusal> {
         let mut state = self.lock();
-        let released = state.guard.make_room(request, process_now());
+        let released = state.guard.evict_less_urgent(request, process_now());
         state.deliver(released);
         let admission = state.guard.offer(request, process_now(), &mut rand::rng());
         match admission {
--- a/components/proxy/src/guard.rs
+++ b/components/proxy/src/guard.rs
@@ -127,14 +127,14 @@
     let Some(server) = server.filter(|server| *server.id == *call.server) else {
         return refuse_with_delay(RefusalKind::ServerGone, Duration::ZERO);
     };
-    let alone = match judge_quarantine(context, &request, call) {
+    let is_exclusive = match classify_request(context, &request, call) {
         QuarantineVerdict::Refused(remaining) => {
             return refuse_with_delay(RefusalKind::Quarantined, remaining);
         }
-        verdict => verdict == QuarantineVerdict::TryAlone,
+        verdict => verdict == QuarantineVerdict::RunAlone,
     };
     let deadline = arrival.deadline;
-    let offer = guard_request(call, deadline, alone);
+    let offer = guard_request(call, deadline, is_exclusive);
     let (request, offer) = match arrival.is_over_link && !request.body().is_end_stream() {
         true => match receive_upload(&server, request, offer).await {
             Ok(taken) => taken,
@@ -170,7 +170,7 @@
 ) -> Result<(Request<ProxyBody>, GuardRequest), DaemonAnswer> {
     let is_upload = is_large(request.body());
     if is_upload {
-        let considered = server.gate.consider_upload(&offer, &server.upload_transfers.ahead());
+        let considered = server.gate.consider_upload(&offer, &server.upload_transfers.backlog());
         considered.map_err(|refusal| Box::new(refuse_admission(server, refusal)))?;
     }
     let _incoming = IncomingCount::new(&server.incoming);
@@ -180,8 +180,8 @@
     })?;
     // An upload queues here without the limit on its wait, because its bytes would have to be sent
     // again to any other endpoint.
-    let most_wait = offer.most_wait.filter(|_| !is_upload);
-    Ok((request, GuardRequest { most_wait, ..offer }))
+    let max_wait = offer.max_wait.filter(|_| !is_upload);
+    Ok((request, GuardRequest { max_wait, ..offer }))
 }
 
 /// Waits for the admission of a request and observes how long that took.
@@ -215,7 +215,7 @@
 }
 
 /// Returns how a request may run that may have crashed a server, and logs it if it is restricted.
-fn judge_quarantine(
+fn classify_request(
     context: &GuardContext,
     request: &Request<ProxyBody>,
     call: &GuardCall,
@@ -226,7 +226,7 @@
     let fingerprint = format_args!("{:x}", call.fingerprint);
     match verdict {
         QuarantineVerdict::Clear => {}
-        QuarantineVerdict::TryAlone => log::info!(
+        QuarantineVerdict::RunAlone => log::info!(
             attempt, fingerprint:%;
             "guard: a request that was running on a crashed server is run alone."
         ),
@@ -239,18 +239,18 @@
 }
 
 /// Describes a call for the admission to the gate.
-fn guard_request(call: &GuardCall, deadline: Instant, alone: bool) -> GuardRequest {
+fn guard_request(call: &GuardCall, deadline: Instant, is_exclusive: bool) -> GuardRequest {
     let remaining = deadline.saturating_duration_since(Instant::now());
     let now = process_now();
     GuardRequest {
         class: call.class,
         flow: call.flow(),
         deadline: now + remaining,
-        alone,
+        is_exclusive,
         goal: call.goal().map(|goal| now + goal),
         rank: call.rank,
         work: call.work,
-        most_wait: call.most_wait(),
+        max_wait: call.max_wait(),
     }
 }
 
--- a/components/proxy/src/headers.rs
+++ b/components/proxy/src/headers.rs
@@ -103,7 +103,7 @@
     let number =
         |name| read_number(headers, name).map_or(0, |count| u8::try_from(count).unwrap_or(u8::MAX));
     let (hops, retried_above) = (number(HOPS_HEADER), number(RETRIED_HEADER));
-    CallContext { remaining, hops, retried_above }.bounded_by(deadline)
+    CallContext { remaining, hops, retried_above }.limited_to(deadline)
 }
 
 /// Text of a log key without a value.
--- a/components/proxy/src/outcome.rs
+++ b/components/proxy/src/outcome.rs
@@ -59,7 +59,9 @@
     /// Converts the outcome for the retry decision; a rejection by the server counts apart.
     pub(crate) fn run_outcome(self, kind: Option<RefusalKind>) -> RunOutcome {
         match self {
-            Self::NotRun if kind == Some(RefusalKind::ServerRejected) => RunOutcome::TurnedAway,
+            Self::NotRun if kind == Some(RefusalKind::ServerRejected) => {
+                RunOutcome::RejectedByServer
+            }
             Self::NotRun => RunOutcome::NotRun,
             Self::Ran => RunOutcome::Ran,
             Self::Unknown => RunOutcome::Unknown,
--- a/components/proxy/src/pool.rs
+++ b/components/proxy/src/pool.rs
@@ -10,7 +10,7 @@
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
 use sk_decide::{
-    idling::{IDLE_LIMIT, IdleTrust},
+    idle_limit::{IdleLimit, MAX_IDLE},
     pacing::{ConnectPacer, ConnectVerdict, PacerSettings},
 };
 use thiserror::Error;
@@ -56,7 +56,7 @@
 struct PoolState {
     idle: Vec<IdleConnection>,
     pacer: ConnectPacer,
-    trust: IdleTrust,
+    idle_limit: IdleLimit,
     is_closed: bool,
 }
 
@@ -75,13 +75,17 @@
     /// Creates a pool without connections.
     pub(crate) fn new(address: SocketAddr, settings: PacerSettings) -> Self {
         let pacer = ConnectPacer::new(settings);
-        let state =
-            PoolState { idle: Vec::new(), pacer, trust: IdleTrust::default(), is_closed: false };
+        let state = PoolState {
+            idle: Vec::new(),
+            pacer,
+            idle_limit: IdleLimit::default(),
+            is_closed: false,
+        };
         Self { address, state: Mutex::new(state), returned: Notify::new() }
     }
 
-    /// Returns an idle connection that is trusted for the request, or opens one, at the allowed
-    /// pace and within the server's limit.
+    /// Returns an idle connection that is young enough for the request, or opens one, at the
+    /// allowed pace and within the server's limit.
     ///
     /// # Errors
     ///
@@ -96,7 +100,7 @@
                 if let Some(found) = state.take_idle(is_repeatable) {
                     return Ok(found);
                 }
-                let verdict = state.pacer.ask(process_now());
+                let verdict = state.pacer.request_connection(process_now());
                 if verdict == ConnectVerdict::Full && !state.idle.is_empty() {
                     // The oldest connection is not trusted either; it is closed to allow a new
                     // one.
@@ -119,7 +123,7 @@
 
     /// Records that the server had dropped a connection that was idle for this long.
     pub(crate) fn record_stale(&self, idle: Duration) {
-        self.lock().trust.note_stale(idle, process_now());
+        self.lock().idle_limit.record_stale(idle, process_now());
     }
 
     /// Returns a connection to the pool whose answer was read to its end.
@@ -135,8 +139,7 @@
 
     /// Closes connections that have been idle for long.
     pub(crate) fn close_idle(&self, now: Instant) {
-        let is_old =
-            |idle: &IdleConnection| now.saturating_duration_since(idle.since) >= IDLE_LIMIT;
+        let is_old = |idle: &IdleConnection| now.saturating_duration_since(idle.since) >= MAX_IDLE;
         self.lock().idle.retain(|idle| !is_old(idle));
     }
 
@@ -197,7 +200,7 @@
     /// Returns the connection used last, so that connections that are not needed age and are
     /// closed.
     fn take_idle(&mut self, is_repeatable: bool) -> Option<AcquiredSender> {
-        let limit = self.trust.limit(is_repeatable, process_now());
+        let limit = self.idle_limit.limit(is_repeatable, process_now());
         while let Some(last) = self.idle.pop() {
             let idle = last.since.elapsed();
             match last.sender.is_ready() {
@@ -221,7 +224,7 @@
 
 impl Drop for OpenConnection {
     fn drop(&mut self) {
-        self.pool.lock().pacer.closed();
+        self.pool.lock().pacer.record_closed();
         self.pool.returned.notify_one();
     }
 }
--- a/components/proxy/src/quarantine.rs
+++ b/components/proxy/src/quarantine.rs
@@ -87,7 +87,7 @@
     pub(crate) fn judge(&self, fingerprint: Fingerprint) -> QuarantineVerdict {
         match self.is_empty() {
             true => QuarantineVerdict::Clear,
-            false => self.lock().judge(fingerprint, unix_time()),
+            false => self.lock().classify(fingerprint, unix_time()),
         }
     }
 
@@ -104,7 +104,7 @@
         let in_flight: Vec<Fingerprint> =
             requests.iter().map(|request| request.fingerprint).collect();
         let report = CrashReport {
-            occasion: stable_hash(&[server.as_bytes()]),
+            crash_id: stable_hash(&[server.as_bytes()]),
             at: unix_time(),
             in_flight: &in_flight,
             is_trial: requests.iter().all(|request| request.is_trial),
--- a/components/proxy/src/table.rs
+++ b/components/proxy/src/table.rs
@@ -161,7 +161,7 @@
         now: Duration,
     ) -> Self {
         let members: Vec<&MemberRecord> = members.collect();
-        let fleet = members.iter().filter(|record| record.is_present()).count();
+        let fleet = members.iter().filter(|record| record.is_active()).count();
         let mut found = find_endpoints(members.into_iter());
         let mut build = |name: &str, previous: Option<&TableService>| {
             let endpoints = found.remove(name).unwrap_or_default();
@@ -277,7 +277,7 @@
 
     /// Returns the number of whole retries left in the budget.
     pub fn retries_left(&self) -> u64 {
-        self.budget.left()
+        self.budget.remaining_retries()
     }
 
     /// Returns the placement state of each endpoint, by its daemon.
--- a/components/proxy/src/transfers.rs
+++ b/components/proxy/src/transfers.rs
@@ -12,8 +12,8 @@
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use sk_decide::{
-    admitting::LinkAhead,
-    transferring::{TransferId, TransferQueue, TransferTurn},
+    admitting::LinkBacklog,
+    transfer_queue::{TransferId, TransferPermit, TransferQueue},
 };
 use slotmap::SecondaryMap;
 use tokio::time::{Sleep, sleep};
@@ -50,8 +50,8 @@
     }
 
     /// Returns the bytes that the link carries before a body that arrives now.
-    pub(crate) fn ahead(&self) -> LinkAhead {
-        self.lock().queue.ahead(process_now())
+    pub(crate) fn backlog(&self) -> LinkBacklog {
+        self.lock().queue.backlog(process_now())
     }
 
     fn lock(&self) -> MutexGuard<'_, SchedulerState> {
@@ -59,12 +59,12 @@
     }
 
     /// Returns whether a body may proceed; otherwise its waker is kept.
-    fn request_permission(&self, id: TransferId, waker: &Waker) -> TransferTurn {
+    fn request_permission(&self, id: TransferId, waker: &Waker) -> TransferPermit {
         self.change(|state| {
-            let permission = state.queue.ask(id, process_now());
+            let permission = state.queue.request_permit(id, process_now());
             match permission {
-                TransferTurn::Go => drop(state.wakers.remove(id)),
-                TransferTurn::Wait(_) => drop(state.wakers.insert(id, waker.clone())),
+                TransferPermit::Granted => drop(state.wakers.remove(id)),
+                TransferPermit::Wait(_) => drop(state.wakers.insert(id, waker.clone())),
             }
             permission
         })
@@ -74,7 +74,7 @@
     fn end(&self, id: TransferId, is_whole: bool) {
         self.change(|state| {
             if is_whole {
-                state.queue.note_whole(id, process_now());
+                state.queue.record_completed(id, process_now());
             }
             state.queue.end(id);
             state.wakers.remove(id);
@@ -85,9 +85,9 @@
     /// wait.
     fn change<T>(&self, change: impl FnOnce(&mut SchedulerState) -> T) -> T {
         let mut state = self.lock();
-        let before = state.queue.held_back();
+        let before = state.queue.waiting_count();
         let changed = change(&mut state);
-        let waiting = state.queue.held_back();
+        let waiting = state.queue.waiting_count();
         let next = state.queue.next_ready(process_now()).and_then(|next| state.wakers.remove(next));
         drop(state);
         if let Some(waker) = next {
@@ -144,11 +144,11 @@
     fn poll_permission(&mut self, context: &mut Context<'_>) -> Poll<()> {
         loop {
             match self.scheduler.request_permission(self.id, context.waker()) {
-                TransferTurn::Go => {
+                TransferPermit::Granted => {
                     self.wait_timer = None;
                     return Poll::Ready(());
                 }
-                TransferTurn::Wait(wait) => {
+                TransferPermit::Wait(wait) => {
                     let wait_timer = self.wait_timer.get_or_insert_with(|| Box::pin(sleep(wait)));
                     if wait_timer.as_mut().poll(context).is_pending() {
                         return Poll::Pending;
--- a/components/proxy/tests/load_hints.rs
+++ b/components/proxy/tests/load_hints.rs
@@ -11,7 +11,7 @@
     let table = fleet.daemons[0].table.load();
     let service = table.services().next().expect("a service");
     let states = service.endpoint_states(process_now());
-    states[&fleet.daemons[1].name].share
+    states[&fleet.daemons[1].name].effective_slots
 }
 
 /// Guards against an entry daemon placing its requests at a server that another daemon's callers
--- a/components/proxy/tests/retry_rules.rs
+++ b/components/proxy/tests/retry_rules.rs
@@ -167,7 +167,7 @@
     let mut plan = FleetPlan::new(0);
     plan.servers = vec![true];
     // All calls of the loop occupy slots of one server, more than a cold one allows.
-    plan.limits.guard.cold_hold = 0.0;
+    plan.limits.guard.cold_reserve = 0.0;
     let fleet = TestFleet::start(plan).await;
     let answer = get(&http1(), fleet.entry(), "/loop?nest=6").await;
     assert_eq!(answer.status, StatusCode::OK, "seven calls deep: {answer:?}");
--- a/components/proxy/tests/slots_freed.rs
+++ b/components/proxy/tests/slots_freed.rs
@@ -12,7 +12,7 @@
 const SLOTS: u32 = 4;
 
 fn small_plan() -> FleetPlan {
-    let guard = GuardSettings { cold_hold: 0.0, short_queue: 6, ..GuardSettings::default() };
+    let guard = GuardSettings { cold_reserve: 0.0, short_queue: 6, ..GuardSettings::default() };
     let pacer = PacerSettings { limit: SLOTS, ..PacerSettings::default() };
     FleetPlan {
         slots: SLOTS,
--- a/components/spread/src/codec.rs
+++ b/components/spread/src/codec.rs
@@ -211,7 +211,7 @@
         builder.set_incarnation(suspicion.incarnation);
         builder.set_sequence(suspicion.sequence);
         builder.set_observer(&suspicion.observer);
-        builder.set_round(suspicion.round);
+        builder.set_round(suspicion.number);
         builder.set_is_withdrawn(suspicion.is_withdrawn);
     }
 }
@@ -227,7 +227,7 @@
             incarnation: suspicion.get_incarnation(),
             sequence: suspicion.get_sequence(),
             observer: read_text(suspicion.get_observer()?)?,
-            round: suspicion.get_round(),
+            number: suspicion.get_round(),
             is_withdrawn: suspicion.get_is_withdrawn(),
         })
     };
--- a/components/spread/src/connect.rs
+++ b/components/spread/src/connect.rs
@@ -203,7 +203,7 @@
 pub(crate) fn sweep_sessions(node: &SpreadNode) {
     let swept = node.pool.sweep(&node.link_names());
     node.stats.set_connections(swept.open);
-    swept.lost_peers.iter().for_each(|proxy| node.note_connection_lost(proxy));
+    swept.lost_peers.iter().for_each(|proxy| node.record_connection_lost(proxy));
 }
 
 impl SpreadNode {
@@ -212,8 +212,8 @@
         if let Some(session) = self.pool.get(proxy) {
             return Ok(session);
         }
-        let view = self.view();
-        let record = view.get(proxy).ok_or_else(|| Error::failed("unknown peer".to_owned()))?;
+        let members = self.member_snapshot();
+        let record = members.get(proxy).ok_or_else(|| Error::failed("unknown peer".to_owned()))?;
         let session = open_session(self, record.control).await?;
         // Another daemon may have taken over the address before its old owner's end is known.
         match session.proxy == proxy {
@@ -235,7 +235,7 @@
     ) -> Result<T, Error> {
         let attempt = async {
             let session = self.session(proxy).await?;
-            session.note_used();
+            session.record_used();
             call(session.client.clone()).await
         };
         let received_at = || self.pool.get(proxy).map(|session| session.received_at());
--- a/components/spread/src/counted.rs
+++ b/components/spread/src/counted.rs
@@ -126,7 +126,7 @@
         buf.advance(count);
         stream.meter.received.fetch_add(count as u64, Ordering::Relaxed);
         stream.allowance.deduct(count as u64);
-        stream.connection.note_received();
+        stream.connection.record_received();
         Poll::Ready(Ok(()))
     }
 }
--- a/components/spread/src/driver.rs
+++ b/components/spread/src/driver.rs
@@ -9,7 +9,7 @@
 };
 
 use sk_logs::OutageLog;
-use sk_member::{FreshnessBook, LivenessMonitor, MemberBoard, MonitorOptions};
+use sk_member::{FreshnessTracker, LivenessMonitor, MonitorOptions, SharedMembers};
 use tokio::{
     net::TcpListener,
     sync::{Semaphore, mpsc, oneshot, watch},
@@ -57,7 +57,7 @@
     /// The held configuration.
     pub held: Arc<HeldConfig>,
     /// The known members.
-    pub members: Arc<MemberBoard>,
+    pub members: Arc<SharedMembers>,
     /// The source of accepted configurations.
     pub source: Arc<dyn ConfigSource>,
     /// Stores contacts; without it only seeds are tried.
@@ -211,7 +211,8 @@
     let (fetch_tasks, fetch_receiver) = mpsc::channel(MAX_QUEUED_FETCHES);
     let (confirm_requests, confirm_receiver) = mpsc::unbounded_channel();
     let own = parts.members.own();
-    let monitor = MonitorOptions { suspect: options.suspect_after, ..MonitorOptions::default() };
+    let monitor =
+        MonitorOptions { silence_timeout: options.suspect_after, ..MonitorOptions::default() };
     let monitor = LivenessMonitor::new(own.proxy.clone(), own.incarnation, monitor);
     let node = SpreadNode {
         own_name: own.proxy.clone(),
@@ -220,7 +221,7 @@
         members: parts.members,
         source: parts.source,
         source_outage: OutageLog::new("spread", "the configuration source"),
-        freshness: RefCell::new(FreshnessBook::new(&own.proxy, options.takeover_options())),
+        freshness: RefCell::new(FreshnessTracker::new(&own.proxy, options.takeover_options())),
         contacts: parts.contacts,
         acks: parts.acks,
         ack_batch: Default::default(),
--- a/components/spread/src/fetch.rs
+++ b/components/spread/src/fetch.rs
@@ -73,7 +73,7 @@
 
     /// Compares a peer's version from a heartbeat or a reconciliation with the held one, and
     /// schedules a fetch in case the tree does not deliver it.
-    pub(crate) fn note_version(
+    pub(crate) fn record_version(
         self: &Rc<Self>,
         from: &str,
         version: Version,
--- a/components/spread/src/forward.rs
+++ b/components/spread/src/forward.rs
@@ -140,9 +140,9 @@
         newest = node.config.newest();
         node.last_announced.set(newest.version());
     }
-    let view = node.view();
+    let members = node.member_snapshot();
     let data_centre = &node.members.own().data_centre;
-    let tree = PushTree::new(&view, data_centre, &plan.root, node.options.fan_out);
+    let tree = PushTree::new(&members, data_centre, &plan.root, node.options.fan_out);
     let children = tree.children(&node.own_name);
     if children.is_empty() {
         return;
--- a/components/spread/src/join.rs
+++ b/components/spread/src/join.rs
@@ -73,8 +73,8 @@
         });
         if !has_joined {
             // The wait also ends when another daemon joins this one meanwhile.
-            let mut views = node.members.subscribe();
-            let joined = views.wait_for(|view| view.len() > 1);
+            let mut snapshots = node.members.subscribe();
+            let joined = snapshots.wait_for(|members| members.len() > 1);
             let _ = tokio::time::timeout(pause.next(), joined).await;
         }
     }
@@ -119,11 +119,11 @@
 
 /// Tries one random seed or former member that is not a present member.
 async fn try_non_member(node: &Rc<SpreadNode>) {
-    let view = node.view();
+    let members = node.member_snapshot();
     let is_present = |address: &SocketAddr| {
-        view.values().any(|record| record.control == *address && record.is_present())
+        members.values().any(|record| record.control == *address && record.is_active())
     };
-    let former = view.values().filter(|record| !record.is_present()).map(|record| record.control);
+    let former = members.values().filter(|record| !record.is_active()).map(|record| record.control);
     let non_members =
         other_seeds(node).into_iter().chain(former).filter(|other| !is_present(other));
     let chosen = non_members.choose(&mut rand::rng());
@@ -166,9 +166,9 @@
     book: &dyn crate::source::ContactBook,
 ) -> Result<(), crate::source::SourceError> {
     let contacts = book.read().await?;
-    let view = node.view();
+    let members = node.member_snapshot();
     let present: BTreeSet<SocketAddr> =
-        view.values().filter(|record| record.is_present()).map(|record| record.control).collect();
+        members.values().filter(|record| record.is_active()).map(|record| record.control).collect();
     let non_members = contacts.values().flatten().filter(|other| !present.contains(other));
     try_addresses(node, &non_members.copied().collect()).await;
     let data_centre = &node.members.own().data_centre;
@@ -185,14 +185,14 @@
 /// causes a write.
 fn choose_contacts(node: &SpreadNode, stored: &[SocketAddr]) -> Vec<SocketAddr> {
     let own = node.members.own();
-    let view = node.view();
-    let local: Vec<SocketAddr> = view
+    let members = node.member_snapshot();
+    let local: Vec<SocketAddr> = members
         .values()
-        .filter(|record| record.data_centre == own.data_centre && record.is_present())
+        .filter(|record| record.data_centre == own.data_centre && record.is_active())
         .map(|record| record.control)
         .collect();
     let relays = node.relays.borrow().relays.clone();
-    let relays = relays.iter().filter_map(|relay| view.get(&relay.proxy));
+    let relays = relays.iter().filter_map(|relay| members.get(&relay.proxy));
     let mut wanted: Vec<SocketAddr> =
         stored.iter().copied().filter(|address| local.contains(address)).collect();
     for address in relays.map(|record| record.control).chain(local) {
--- a/components/spread/src/lib.rs
+++ b/components/spread/src/lib.rs
@@ -47,7 +47,7 @@
 pub use forward::{ForwardMethod, ForwardPlan, plan_forward};
 pub use held_config::{HeldConfig, HeldStatus, OfferOutcome};
 pub use options::{PassMode, SpreadOptions};
-pub use sk_member::HistoryMark;
+pub use sk_member::HistoryPosition;
 pub use source::{
     AckSink, ConfigSource, ContactBook, ContactMap, NoticeBoard, SourceError, SourceNews,
 };
--- a/components/spread/src/link_board.rs
+++ b/components/spread/src/link_board.rs
@@ -3,7 +3,7 @@
 use std::{cell::Cell, collections::BTreeMap, rc::Rc, time::Duration};
 
 use sk_member::{
-    LivenessMonitor, MemberRumor, MemberSuspicion, MemberView, MonitorEvent, RumorQueue,
+    LivenessMonitor, MemberRumor, MemberSnapshot, MemberSuspicion, MonitorEvent, RumorQueue,
 };
 use sk_model::ProxyId;
 use tokio::{sync::Notify, time::Instant};
@@ -51,16 +51,16 @@
     }
 
     /// Runs the monitor and returns the events that are due.
-    pub(crate) fn tick(&mut self, view: &MemberView) -> Vec<MonitorEvent> {
+    pub(crate) fn tick(&mut self, members: &MemberSnapshot) -> Vec<MonitorEvent> {
         let now = self.now();
-        self.monitor.tick(view, now)
+        self.monitor.tick(members, now)
     }
 
     /// Passes an observer's suspicion to the monitor, and queues it for the other links if it is
     /// new.
-    pub(crate) fn note_suspicion(&mut self, suspicion: MemberSuspicion, from: &ProxyId) {
+    pub(crate) fn record_suspicion(&mut self, suspicion: MemberSuspicion, from: &ProxyId) {
         let now = self.now();
-        if self.monitor.note(suspicion.clone(), now) {
+        if self.monitor.add_suspicion(suspicion.clone(), now) {
             self.push(&MemberRumor::Suspicion(suspicion), Some(from));
         }
     }
--- a/components/spread/src/links.rs
+++ b/components/spread/src/links.rs
@@ -10,7 +10,7 @@
 };
 
 use capnp::{Error, ErrorKind};
-use sk_member::{FreshnessProof, MemberView, OverlayPlan};
+use sk_member::{FreshnessProof, MemberSnapshot, OverlayPlan};
 use sk_model::ProxyId;
 use tokio::time::Instant;
 
@@ -44,17 +44,17 @@
     }
 
     /// Reports to the monitor that the connection to a peer ended without this side closing it.
-    pub(crate) fn note_connection_lost(&self, proxy: &str) {
+    pub(crate) fn record_connection_lost(&self, proxy: &str) {
         let mut board = self.links.borrow_mut();
         let now = board.now();
-        board.monitor.lost(proxy, now);
+        board.monitor.record_reset(proxy, now);
     }
 
     /// Reports to the monitor that a peer was heard from.
-    fn note_alive(&self, proxy: &str) {
+    fn record_alive(&self, proxy: &str) {
         let mut board = self.links.borrow_mut();
         let now = board.now();
-        board.monitor.heard(proxy, now);
+        board.monitor.record_heard(proxy, now);
     }
 
     /// Writes this daemon's heartbeat: its version, member digest, readiness and freshness proof.
@@ -64,10 +64,10 @@
         builder.set_root_hash(hash_prefix);
         builder.set_members(self.member_hash());
         builder.set_is_ready(self.config.is_ready());
-        if let Some(proof) = self.freshness.borrow().held() {
-            let age = self.started_at.elapsed().saturating_sub(proof.seen_at);
+        if let Some(proof) = self.freshness.borrow().proof() {
+            let age = self.started_at.elapsed().saturating_sub(proof.polled_at);
             builder.set_source_age_millis(u32::try_from(age.as_millis()).unwrap_or(UNKNOWN_AGE));
-            builder.set_looker(proof.looker);
+            builder.set_looker(proof.poller);
             builder.set_history(proof.history);
         }
     }
@@ -80,9 +80,9 @@
         beat: beat::Reader<'_>,
         written_after: Instant,
     ) -> bool {
-        self.note_alive(proxy);
+        self.record_alive(proxy);
         self.adopt_proof(beat, written_after);
-        self.note_version(proxy, beat.get_version(), beat.get_root_hash());
+        self.record_version(proxy, beat.get_version(), beat.get_root_hash());
         beat.get_members() == self.member_hash()
     }
 
@@ -95,9 +95,9 @@
         let is_known = beat.get_source_age_millis() != UNKNOWN_AGE;
         let is_held = beat.get_version() <= self.config.newest_id().0;
         let written_after = written_after.saturating_duration_since(self.started_at);
-        if let (true, Some(seen_at)) = (is_known && is_held, written_after.checked_sub(age)) {
-            let (looker, history) = (beat.get_looker(), beat.get_history());
-            self.note_proof(FreshnessProof { looker, seen_at, history });
+        if let (true, Some(polled_at)) = (is_known && is_held, written_after.checked_sub(age)) {
+            let (poller, history) = (beat.get_looker(), beat.get_history());
+            self.record_proof(FreshnessProof { poller, polled_at, history });
         }
     }
 
@@ -111,43 +111,43 @@
 
 /// Plans the links again whenever members join or leave.
 pub(crate) async fn maintain_links(node: &Rc<SpreadNode>) {
-    let mut views = node.members.subscribe();
+    let mut snapshots = node.members.subscribe();
     let mut planned_hash = None;
     loop {
-        let view = views.borrow_and_update().clone();
-        let hash = Some(membership_hash(&view));
+        let members = snapshots.borrow_and_update().clone();
+        let hash = Some(membership_hash(&members));
         // A leaving daemon is in no plan, including its own. It keeps its links, which may still
         // have to carry the rumor of its leaving.
-        if planned_hash != hash && node.members.own().is_present() {
+        if planned_hash != hash && node.members.own().is_active() {
             planned_hash = hash;
-            plan_links(node, &view);
+            plan_links(node, &members);
         }
-        if views.changed().await.is_err() {
+        if snapshots.changed().await.is_err() {
             return;
         }
         tokio::time::sleep(REPLAN_PAUSE).await;
     }
 }
 
-/// Hashes the parts of a view that determine the plan of the links.
-fn membership_hash(view: &MemberView) -> u64 {
+/// Hashes the parts of a snapshot that determine the plan of the links.
+fn membership_hash(members: &MemberSnapshot) -> u64 {
     let mut hasher = DefaultHasher::new();
-    for record in view.values().filter(|record| record.is_present()) {
+    for record in members.values().filter(|record| record.is_active()) {
         (&record.proxy, &record.data_centre, &record.region).hash(&mut hasher);
     }
     hasher.finish()
 }
 
 /// Replaces the links by those of the current overlay plan, and starts a task for each new one.
-fn plan_links(node: &Rc<SpreadNode>, view: &MemberView) {
-    let plan = OverlayPlan::new(view);
-    let chosen: BTreeSet<ProxyId> = plan.chosen(&node.own_name).into_iter().collect();
+fn plan_links(node: &Rc<SpreadNode>, members: &MemberSnapshot) {
+    let plan = OverlayPlan::new(members);
+    let opened_links: BTreeSet<ProxyId> = plan.opened_links(&node.own_name).into_iter().collect();
     let neighbours: BTreeSet<ProxyId> = plan.neighbours(&node.own_name).cloned().collect();
     let mut board = node.links.borrow_mut();
     let now = board.now();
     board.monitor.set_neighbours(neighbours.iter().cloned(), now);
     let is_kept = |proxy: &ProxyId, link: &LinkState| {
-        neighbours.contains(proxy) && link.is_initiator == chosen.contains(proxy)
+        neighbours.contains(proxy) && link.is_initiator == opened_links.contains(proxy)
     };
     let links = std::mem::take(&mut board.links);
     for (proxy, link) in links {
@@ -161,7 +161,7 @@
     for proxy in neighbours {
         if !board.links.contains_key(&proxy) {
             board.rumors.add_link(proxy.clone());
-            let is_initiator = chosen.contains(&proxy);
+            let is_initiator = opened_links.contains(&proxy);
             let link = Rc::new(LinkState::new(is_initiator));
             board.links.insert(proxy.clone(), link.clone());
             tokio::task::spawn_local(run_link(node.clone(), proxy, link));
@@ -188,11 +188,11 @@
             match send_beat(&node, &proxy).await {
                 Ok(true) => mismatches = 0,
                 Ok(false) => mismatches += 1,
-                Err(err) => note_beat_failure(&node, &proxy, &err),
+                Err(err) => record_beat_failure(&node, &proxy, &err),
             }
         }
         send_pending(&node, &proxy).await;
-        needs_repair |= node.links.borrow_mut().rumors.take_repair(&proxy);
+        needs_repair |= node.links.borrow_mut().rumors.take_digest_request(&proxy);
         if needs_repair || mismatches >= MAX_DIGEST_MISMATCHES {
             let call = async |peer| node.reconcile(&proxy, peer).await;
             needs_repair = node.call(&proxy, CALL_TIMEOUT, call).await.is_err();
@@ -227,10 +227,10 @@
 
 /// Reports a failed heartbeat to the monitor if the connection was refused or reset, which shows
 /// at once that the process ended. After a timeout the monitor detects the silence itself.
-fn note_beat_failure(node: &SpreadNode, proxy: &str, err: &Error) {
+fn record_beat_failure(node: &SpreadNode, proxy: &str, err: &Error) {
     log::debug!("spread: heartbeat to {proxy} failed: {err}.");
     if err.kind == ErrorKind::Disconnected {
-        node.note_connection_lost(proxy);
+        node.record_connection_lost(proxy);
     }
 }
 
@@ -244,7 +244,7 @@
         let call = async |peer| node.send_rumors(peer, rumors).await;
         if let Err(err) = node.call(proxy, CALL_TIMEOUT, call).await {
             log::debug!("spread: rumors to {proxy} failed: {err}.");
-            return node.links.borrow_mut().rumors.mark_failed(proxy);
+            return node.links.borrow_mut().rumors.request_digest(proxy);
         }
     }
 }
--- a/components/spread/src/neighbours.rs
+++ b/components/spread/src/neighbours.rs
@@ -18,13 +18,13 @@
     let mut last_expiry = Instant::now();
     loop {
         tokio::time::sleep(MONITOR_INTERVAL).await;
-        let view = node.view();
-        let events = node.links.borrow_mut().tick(&view);
+        let members = node.member_snapshot();
+        let events = node.links.borrow_mut().tick(&members);
         events.into_iter().for_each(|event| apply_event(node, event));
         if last_expiry.elapsed() > EXPIRY_INTERVAL {
             last_expiry = Instant::now();
             let now = node.links.borrow().now();
-            node.members.update(|table| table.expire(now), |dropped| *dropped > 0);
+            node.members.update(|table| table.expire_tombstones(now), |dropped| *dropped > 0);
             sweep_sessions(node);
         }
     }
@@ -33,7 +33,7 @@
 /// Applies one decision of the monitor.
 fn apply_event(node: &SpreadNode, event: MonitorEvent) {
     match event {
-        MonitorEvent::Spread(suspicion) => {
+        MonitorEvent::SendSuspicion(suspicion) => {
             node.links.borrow_mut().push(&MemberRumor::Suspicion(suspicion), None);
         }
         MonitorEvent::Gone { proxy, incarnation, sequence } => {
@@ -46,11 +46,11 @@
                 node.links.borrow_mut().push(&MemberRumor::Record(record), None);
             }
         }
-        MonitorEvent::Marked(marks) => node.members.set_marks(marks),
+        MonitorEvent::MarksChanged(marks) => node.members.set_marks(marks),
         MonitorEvent::Paused(pause) => {
             log::warn!("spread: this process was paused for {} ms.", pause.as_millis());
             node.members.update(|table| table.withdraw_endpoints(), |is_changed| *is_changed);
-            node.freshness.borrow_mut().restart(node.started_at.elapsed());
+            node.freshness.borrow_mut().reset(node.started_at.elapsed());
         }
     }
 }
--- a/components/spread/src/node.rs
+++ b/components/spread/src/node.rs
@@ -9,7 +9,7 @@
 };
 
 use sk_logs::OutageLog;
-use sk_member::{FreshnessBook, FreshnessProof, MemberBoard, MemberRecord, MemberView};
+use sk_member::{FreshnessProof, FreshnessTracker, MemberRecord, MemberSnapshot, SharedMembers};
 use sk_model::{ConfigSnapshot, ProxyId, Version, unix_time_ms};
 use tokio::{
     sync::{Semaphore, mpsc, oneshot, watch},
@@ -43,11 +43,11 @@
     pub(crate) started_at: Instant,
     /// The held configuration.
     pub(crate) config: Arc<HeldConfig>,
-    pub(crate) members: Arc<MemberBoard>,
+    pub(crate) members: Arc<SharedMembers>,
     pub(crate) source: Arc<dyn ConfigSource>,
     pub(crate) source_outage: OutageLog,
     /// Freshness proofs: when this daemon or a peer last knew that the held version is the newest.
-    pub(crate) freshness: RefCell<FreshnessBook>,
+    pub(crate) freshness: RefCell<FreshnessTracker>,
     pub(crate) contacts: Option<Arc<dyn ContactBook>>,
     pub(crate) acks: Arc<dyn AckSink>,
     /// Acknowledgements to pass on if this daemon is a relay.
@@ -79,13 +79,13 @@
 impl SpreadNode {
     /// Lists the records of all other members that are believed reachable.
     pub(crate) fn other_members(&self) -> Vec<Arc<MemberRecord>> {
-        let view = self.members.view();
+        let members = self.members.snapshot();
         let is_other = |record: &&Arc<MemberRecord>| record.proxy != self.own_name;
-        view.values().filter(is_other).filter(|record| record.is_present()).cloned().collect()
+        members.values().filter(is_other).filter(|record| record.is_active()).cloned().collect()
     }
 
-    pub(crate) fn view(&self) -> MemberView {
-        self.members.view()
+    pub(crate) fn member_snapshot(&self) -> MemberSnapshot {
+        self.members.snapshot()
     }
 
     /// Offers a version to the held configuration, and queues it for forwarding if it is newer.
@@ -116,7 +116,7 @@
 
     /// Records a push along a tree and returns whether it is the first of that version there. A
     /// second one arrives only if a parent took this daemon for failed.
-    pub(crate) fn note_push(&self, version: Version, origin: &VersionOrigin) -> bool {
+    pub(crate) fn record_push(&self, version: Version, origin: &VersionOrigin) -> bool {
         let push = Some((version, origin.clone()));
         self.last_push.replace(push.clone()) != push
     }
@@ -144,22 +144,22 @@
     /// Reports that a peer holds different content under a version held here. Of two histories
     /// under one prefix only one was accepted, and only an operator can decide which.
     pub(crate) fn report_diverged(&self, version: Version, peer: &str) {
-        if self.stats.note_diverged(version) {
+        if self.stats.record_diverged(version) {
             log::error!("spread: {peer} holds different content under version {version}.");
         }
     }
 
     /// Records that this daemon itself found nothing newer at the source at `read_at`.
-    pub(crate) fn note_source_read(&self, read_at: Instant) {
-        let seen_at = read_at.saturating_duration_since(self.started_at);
-        let looker = self.freshness.borrow().own();
-        self.note_proof(FreshnessProof { looker, seen_at, history: self.source.history() });
+    pub(crate) fn record_source_read(&self, read_at: Instant) {
+        let polled_at = read_at.saturating_duration_since(self.started_at);
+        let poller = self.freshness.borrow().own();
+        self.record_proof(FreshnessProof { poller, polled_at, history: self.source.history() });
     }
 
     /// Records a proof that the version held here was the newest one.
-    pub(crate) fn note_proof(&self, proof: FreshnessProof) {
-        self.freshness.borrow_mut().offer(proof, self.started_at.elapsed());
-        self.stats.note_source_read_at(self.started_at + proof.seen_at);
+    pub(crate) fn record_proof(&self, proof: FreshnessProof) {
+        self.freshness.borrow_mut().add_proof(proof, self.started_at.elapsed());
+        self.stats.record_source_read_at(self.started_at + proof.polled_at);
     }
 
     /// Reads the configuration source once for all callers that ask during the same batch.
--- a/components/spread/src/options.rs
+++ b/components/spread/src/options.rs
@@ -3,7 +3,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use sk_member::LookOptions;
+use sk_member::PollOptions;
 
 /// Delay between one standby daemon and the next before each takes over watching the source. One
 /// read of the source takes milliseconds, and its success is sent to the neighbours at once.
@@ -58,9 +58,9 @@
     /// Returns when daemons take over watching the source from those that fail to. The staleness
     /// limit is the wait of one watch, one long pause between heartbeats (1.5 times the mean) and
     /// half a heartbeat interval as margin.
-    pub(crate) fn takeover_options(&self) -> LookOptions {
+    pub(crate) fn takeover_options(&self) -> PollOptions {
         let stale_after = self.max_watch_wait() + self.heartbeat * 2;
-        LookOptions { relays: self.relays, stale_after, step: TAKEOVER_STEP }
+        PollOptions { relays: self.relays, stale_after, takeover_step: TAKEOVER_STEP }
     }
 }
 
--- a/components/spread/src/relays.rs
+++ b/components/spread/src/relays.rs
@@ -18,15 +18,15 @@
 
 /// Chooses the relays, and sets the order in which other daemons take over from them.
 pub(crate) fn choose_relay_view(node: &SpreadNode) -> RelayView {
-    let view = node.view();
+    let members = node.member_snapshot();
     let own = node.members.own();
-    let records = view.values().map(|record| &**record);
+    let records = members.values().map(|record| &**record);
     let mut chosen = choose_relays(records, &own.data_centre, usize::MAX);
-    node.freshness.borrow_mut().set_order(&chosen);
+    node.freshness.borrow_mut().set_poll_order(&chosen);
     chosen.truncate(node.options.relays);
     let rank = chosen.iter().position(|relay| *relay == own.proxy);
     let name = |proxy: ProxyId| {
-        let incarnation = view.get(&proxy).map_or(0, |record| record.incarnation);
+        let incarnation = members.get(&proxy).map_or(0, |record| record.incarnation);
         RelayId { proxy, incarnation }
     };
     RelayView {
@@ -38,7 +38,7 @@
 
 /// Chooses the relays again whenever members change.
 pub(crate) async fn maintain_relays(node: &Rc<SpreadNode>) {
-    let mut views = node.members.subscribe();
+    let mut snapshots = node.members.subscribe();
     loop {
         let relays = choose_relay_view(node);
         node.stats.set_relays(relays.clone());
@@ -49,7 +49,7 @@
             }
             is_changed
         });
-        if views.changed().await.is_err() {
+        if snapshots.changed().await.is_err() {
             return;
         }
         tokio::time::sleep(RELAY_CHOICE_PAUSE).await;
--- a/components/spread/src/rumors.rs
+++ b/components/spread/src/rumors.rs
@@ -28,7 +28,7 @@
             if is_about_own {
                 self.members.update(|table| table.refute(&suspicion), |is_refuted| *is_refuted);
             }
-            self.links.borrow_mut().note_suspicion(suspicion, from);
+            self.links.borrow_mut().record_suspicion(suspicion, from);
         }
     }
 
@@ -79,7 +79,7 @@
             received.iter().map(|record| (record.proxy.clone(), record.rank())).collect();
         self.merge_rumors(received, Vec::new(), proxy);
         self.handle_beat(proxy, response.get_beat()?, sent_at);
-        let differing = digest.differing(&peer_digest);
+        let differing = digest.differing_buckets(&peer_digest);
         let mut missing_there =
             self.members.update(|table| table.records_in(&differing), |_| false);
         missing_there
@@ -143,7 +143,7 @@
 
 /// Queues the own record for every link as soon as it changes.
 pub(crate) async fn send_own_record(node: &Rc<SpreadNode>) {
-    let mut views = node.members.subscribe();
+    let mut snapshots = node.members.subscribe();
     let mut last_sent = node.members.own();
     loop {
         let own = node.members.own();
@@ -151,7 +151,7 @@
             last_sent = own.clone();
             node.links.borrow_mut().push(&MemberRumor::Record(own), None);
         }
-        if views.changed().await.is_err() {
+        if snapshots.changed().await.is_err() {
             return;
         }
     }
--- a/components/spread/src/server.rs
+++ b/components/spread/src/server.rs
@@ -67,7 +67,7 @@
             session.ok_or_else(|| Error::failed("peer has not authenticated".to_owned()))?;
         let node = self.node.upgrade();
         let node = node.ok_or_else(|| Error::disconnected("daemon is stopping".to_owned()))?;
-        session.note_used();
+        session.record_used();
         Ok((node, session))
     }
 }
@@ -110,7 +110,7 @@
         node.handle_beat(&session.proxy, params.get_beat()?, Instant::now());
         let compare = |table: &mut sk_member::MemberTable| {
             let digest = table.digest().clone();
-            let records = table.records_in(&digest.differing(&peer_digest));
+            let records = table.records_in(&digest.differing_buckets(&peer_digest));
             (digest, records)
         };
         let (digest, records) = node.members.update(compare, |_| false);
@@ -208,7 +208,7 @@
 fn handle_push(node: &Rc<SpreadNode>, update: ConfigUpdate, origin: VersionOrigin, from: &str) {
     let (version, hash_prefix) = (update.version, root_hash_prefix(&update.root_hash));
     let newest = node.config.newest();
-    let is_first = node.note_push(version, &origin);
+    let is_first = node.record_push(version, &origin);
     if version == newest.version()
         && hash_prefix == root_hash_prefix(&newest.root.hash())
         && is_first
--- a/components/spread/src/session.rs
+++ b/components/spread/src/session.rs
@@ -44,7 +44,7 @@
 
 impl ConnectionState {
     /// Records that bytes have arrived.
-    pub(crate) fn note_received(&self) {
+    pub(crate) fn record_received(&self) {
         self.received_at.set(Instant::now());
     }
 
@@ -65,7 +65,7 @@
     }
 
     /// Records that the connection is used for a call.
-    pub(crate) fn note_used(&self) {
+    pub(crate) fn record_used(&self) {
         self.used_at.set(Instant::now());
     }
 
--- a/components/spread/src/source.rs
+++ b/components/spread/src/source.rs
@@ -4,7 +4,7 @@
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
 use async_trait::async_trait;
-use sk_member::HistoryMark;
+use sk_member::HistoryPosition;
 use sk_model::{ConfigSnapshot, DataCentre, ProxyAck};
 use thiserror::Error;
 use tokio::time::Instant;
@@ -54,13 +54,13 @@
 
     /// Returns the position in the source's history up to which this daemon knows everything; zero
     /// if the source keeps no history.
-    fn history(&self) -> HistoryMark {
+    fn history(&self) -> HistoryPosition {
         0
     }
 
     /// Continues at the position in the source's history that a peer knows. The version held here
     /// is the newest one up to there, so nothing before it has to be read.
-    fn follow_from(&self, _history: HistoryMark) {}
+    fn follow_from(&self, _history: HistoryPosition) {}
 }
 
 /// Stores addresses of daemons for those that start without another way to find the fleet.
--- a/components/spread/src/state.rs
+++ b/components/spread/src/state.rs
@@ -170,7 +170,7 @@
 
     /// Records a version with two different contents and returns whether it is the newest one so
     /// far.
-    pub(crate) fn note_diverged(&self, version: Version) -> bool {
+    pub(crate) fn record_diverged(&self, version: Version) -> bool {
         self.diverged.fetch_max(version, Ordering::Relaxed) < version
     }
 
@@ -179,7 +179,7 @@
     }
 
     /// Records when the source was known to have nothing newer than the version held here.
-    pub(crate) fn note_source_read_at(&self, read_at: Instant) {
+    pub(crate) fn record_source_read_at(&self, read_at: Instant) {
         self.with_parts(|parts| parts.source_read_at = parts.source_read_at.max(Some(read_at)));
     }
 
--- a/components/spread/src/watch.rs
+++ b/components/spread/src/watch.rs
@@ -42,11 +42,11 @@
     // Before readiness, only `start` reads the source.
     let mut ready = node.config.ready();
     let _ = ready.wait_for(|is_ready| *is_ready).await;
-    node.freshness.borrow_mut().restart(node.started_at.elapsed());
+    node.freshness.borrow_mut().reset(node.started_at.elapsed());
     let mut relays = node.relays.subscribe();
     let mut watch = SourceWatch::default();
     loop {
-        let due = node.freshness.borrow().due_in(node.started_at.elapsed());
+        let due = node.freshness.borrow().poll_due_in(node.started_at.elapsed());
         if due == Some(Duration::ZERO) {
             watch.watch_once(node).await;
             continue;
@@ -104,7 +104,7 @@
             self.last_seen = Arc::new(snapshot.clone());
             node.offer(snapshot, PLATFORM, VersionOrigin::Source);
         }
-        node.note_source_read(result.seen_at);
+        node.record_source_read(result.seen_at);
         // The next daemons in the order would also start to watch if they learnt of the success
         // only with the next regular heartbeat.
         if !std::mem::replace(&mut self.has_reported, true) {
@@ -118,13 +118,14 @@
             return;
         }
         let freshness = node.freshness.borrow();
-        let predecessors = freshness.turns_before().unwrap_or_default();
+        let predecessors = freshness.takeovers_before().unwrap_or_default();
         // Each further daemon that fails as well calls more rarely: all daemons of a data centre
         // fail while the source is unreachable, and their calls must not grow with their number.
         let position = u32::try_from(predecessors).unwrap_or(u32::MAX).saturating_add(1);
         self.pause = RetryPause::new(FIRST_PAUSE, LONGEST_PAUSE.saturating_mul(position));
-        let latest_proof = freshness.held();
-        let age = latest_proof.map(|proof| node.started_at.elapsed().saturating_sub(proof.seen_at));
+        let latest_proof = freshness.proof();
+        let age =
+            latest_proof.map(|proof| node.started_at.elapsed().saturating_sub(proof.polled_at));
         let source_age_ms = age.map(|age| u64::try_from(age.as_millis()).unwrap_or(u64::MAX));
         log::info!(
             source_age_ms:?, turns = predecessors;
@@ -193,7 +194,7 @@
     };
     node.source_outage.record_success();
     node.stats.set_source_fault(None);
-    node.note_source_read(started_at);
+    node.record_source_read(started_at);
     match outcome {
         OfferOutcome::Rejected(_) => ConfirmOutcome::Rejected,
         _ => {
--- a/components/spread/tests/common/access.rs
+++ b/components/spread/tests/common/access.rs
@@ -66,8 +66,8 @@
 
     /// Returns the names of a data centre's daemons, in the order in which they watch the source.
     pub fn ranked(&self, data_centre: &str) -> Vec<String> {
-        let view = self.daemons[0].members.view();
-        choose_relays(view.values().map(|record| &**record), data_centre, DAEMONS_PER_CENTRE)
+        let members = self.daemons[0].members.snapshot();
+        choose_relays(members.values().map(|record| &**record), data_centre, DAEMONS_PER_CENTRE)
     }
 
     /// Sets the state of the platform connections of the first `count` choices of every data
--- a/components/spread/tests/common/mod.rs
+++ b/components/spread/tests/common/mod.rs
@@ -18,7 +18,7 @@
 
 use async_trait::async_trait;
 use rand::RngExt;
-use sk_member::{MemberBoard, MemberRecord, MemberStatus, choose_relays};
+use sk_member::{MemberRecord, MemberStatus, SharedMembers, choose_relays};
 use sk_model::{
     ConfigSnapshot, ProxyAck, RouteSetting, ServiceSetting, SettingBody, SnapshotRoot, TeamTree,
     TreeRef, ValueSetting, Version,
@@ -296,7 +296,7 @@
 pub struct TestDaemon {
     pub handle: SpreadHandle,
     pub config: Arc<HeldConfig>,
-    pub members: Arc<MemberBoard>,
+    pub members: Arc<SharedMembers>,
     pub meter: Arc<ControlMeter>,
     pub address: SocketAddr,
     pub name: String,
@@ -308,7 +308,7 @@
     }
 
     pub fn present_count(&self) -> usize {
-        self.members.view().values().filter(|record| record.is_present()).count()
+        self.members.snapshot().values().filter(|record| record.is_active()).count()
     }
 
     pub fn leave(&self) {
@@ -403,7 +403,7 @@
             endpoints: Vec::new(),
         };
         let config = Arc::new(HeldConfig::new());
-        let members = Arc::new(MemberBoard::new(record));
+        let members = Arc::new(SharedMembers::new(record));
         let meter = Arc::new(ControlMeter::default());
         let parts = SpreadParts {
             notices: None,
@@ -448,8 +448,8 @@
 
 /// Returns the names of a data centre's relays, ordered by preference.
 pub fn relays(daemon: &TestDaemon, data_centre: &str) -> Vec<String> {
-    let view = daemon.members.view();
-    choose_relays(view.values().map(|record| &**record), data_centre, 2)
+    let members = daemon.members.snapshot();
+    choose_relays(members.values().map(|record| &**record), data_centre, 2)
 }
 
 pub fn all_hold(daemons: &[TestDaemon], version: Version) -> bool {
--- a/components/spread/tests/few_pushes.rs
+++ b/components/spread/tests/few_pushes.rs
@@ -72,7 +72,7 @@
     fleet.platform.accept(numbered(2));
     wait_for("the version everywhere", || all_hold(&daemons, 2));
     let root = &common::relays(&daemons[0], "lj1")[0];
-    let tree = PushTree::new(&daemons[0].members.view(), "lj1", root, fleet.options.fan_out);
+    let tree = PushTree::new(&daemons[0].members.snapshot(), "lj1", root, fleet.options.fan_out);
     let silent = tree.children(root).into_iter().find(|child| !tree.children(child).is_empty());
     let silent = silent.expect("a child with children");
     let index = daemons.iter().position(|daemon| daemon.name == silent).expect("a daemon");
--- a/components/spread/tests/record_rumors.rs
+++ b/components/spread/tests/record_rumors.rs
@@ -21,8 +21,8 @@
 
 fn all_see(daemons: &[TestDaemon], name: &str, status: EndpointStatus) -> bool {
     daemons.iter().all(|daemon| {
-        let view = daemon.members.view();
-        view.get(name).is_some_and(|record| record.endpoints.iter().any(|e| e.status == status))
+        let members = daemon.members.snapshot();
+        members.get(name).is_some_and(|record| record.endpoints.iter().any(|e| e.status == status))
     })
 }
 
@@ -49,7 +49,7 @@
     let leaving = daemons.remove(7);
     leaving.leave();
     let knows = |daemon: &TestDaemon, name: &str, status| {
-        daemon.members.view().get(name).is_some_and(|record| record.status == status)
+        daemon.members.snapshot().get(name).is_some_and(|record| record.status == status)
     };
     let took = wait_for("the leave", || {
         daemons.iter().all(|daemon| knows(daemon, &leaving.name, MemberStatus::Leaving))
