--- a/components/claim/src/book.rs
+++ b/components/claim/src/client.rs
@@ -31,13 +31,13 @@
 ///
 /// Operations of one partition that arrive during a commit go into the next one together. A daemon
 /// thus writes at most one commit at a time to each partition, however many requests it guards.
-pub struct ClaimBook {
+pub struct ClaimClient {
     store: SharedStore,
     settings: ClaimSettings,
     writers: Mutex<HashMap<u32, OperationSender>>,
 }
 
-impl ClaimBook {
+impl ClaimClient {
     /// Creates an instance that uses the platform. Requires a tokio runtime from the first claim
     /// on.
     pub fn new(store: SharedStore, settings: ClaimSettings) -> Self {
@@ -49,7 +49,7 @@
     /// # Errors
     ///
     /// Returns a [`ClaimError`] if the platform is unavailable or too slow. The attempt is then
-    /// not granted, must not run, and needs no [`ClaimBook::give_back`].
+    /// not granted, must not run, and needs no [`ClaimClient::release`].
     pub async fn claim(&self, key: &ClaimKey, attempt: AttemptId) -> ClaimResult {
         let result = self.submit(ClaimOperation::Claim { key: key.clone(), attempt }).await;
         if result.is_err() {
@@ -62,13 +62,13 @@
 
     /// Records that the granted attempt ran, and its status. Returns at once; if the record is
     /// lost, a resend is answered with "unknown" instead of the status.
-    pub fn ran(&self, key: &ClaimKey, attempt: AttemptId, status: u16) {
+    pub fn record_status(&self, key: &ClaimKey, attempt: AttemptId, status: u16) {
         self.submit_in_background(ClaimOperation::Ran { key: key.clone(), attempt, status });
     }
 
     /// Releases a grant because the attempt did not run and never will. The release continues if
     /// the caller of this function stops waiting.
-    pub async fn give_back(&self, key: &ClaimKey, attempt: AttemptId) {
+    pub async fn release(&self, key: &ClaimKey, attempt: AttemptId) {
         if self.submit(ClaimOperation::Release { key: key.clone(), attempt }).await.is_err() {
             log::info!("claim: a claim is not released.");
         }
--- a/components/claim/src/lib.rs
+++ b/components/claim/src/lib.rs
@@ -4,14 +4,14 @@
 //! one key, wherever they arrive, at most one is granted, and only the granted one may run. See
 //! `docs/design/claims.md` for the alternatives considered and the rates that each supports.
 
-mod book;
+mod client;
 mod commit;
 mod error;
 mod head;
 mod partition;
 mod settings;
 
-pub use book::ClaimBook;
+pub use client::ClaimClient;
 pub use error::ClaimError;
 pub use head::{AttemptId, ClaimKey, claim_key};
 pub use partition::ClaimVerdict;
--- a/components/claim/tests/at_most_once.rs
+++ b/components/claim/tests/at_most_once.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, sync::Arc};
 
 use proptest::prelude::*;
-use sk_claim::{ClaimBook, ClaimSettings, ClaimVerdict, claim_key};
+use sk_claim::{ClaimClient, ClaimSettings, ClaimVerdict, claim_key};
 use sk_store::{CallFault, FakeStore, FaultStore, SharedStore};
 use tokio::task::JoinSet;
 
@@ -47,24 +47,28 @@
 async fn count_grants(steps: Vec<Step>) -> BTreeMap<u8, u32> {
     let fault_store = FaultStore::new_interleaved();
     let store: SharedStore = fault_store.clone();
-    let book = || Arc::new(ClaimBook::new(store.clone(), settings()));
-    let mut books = [book(), book(), book()];
+    let client = || Arc::new(ClaimClient::new(store.clone(), settings()));
+    let mut clients = [client(), client(), client()];
     let (mut grants, mut attempt) = (BTreeMap::new(), 0);
     for step in steps {
         match step {
             Step::Outage(is_down) => fault_store.inner.set_outage(is_down),
-            Step::Restart(daemon) => books[daemon] = book(),
+            Step::Restart(daemon) => clients[daemon] = client(),
             Step::Faults(faults) => fault_store.plan_faults_before(&faults),
             Step::Attempts(attempts) => {
                 let mut tasks = JoinSet::new();
                 for (daemon, key) in attempts {
                     attempt += 1;
-                    let (book, attempt) = (books[daemon].clone(), attempt);
+                    let (client, attempt) = (clients[daemon].clone(), attempt);
                     tasks.spawn(async move {
                         let verdict =
-                            book.claim(&claim_key("/a/b", &key.to_string()), attempt).await;
+                            client.claim(&claim_key("/a/b", &key.to_string()), attempt).await;
                         if verdict == Ok(ClaimVerdict::Granted) {
-                            book.ran(&claim_key("/a/b", &key.to_string()), attempt, 200);
+                            client.record_status(
+                                &claim_key("/a/b", &key.to_string()),
+                                attempt,
+                                200,
+                            );
                         }
                         (key, verdict)
                     });
@@ -104,10 +108,10 @@
     let (first, second) = (is_free().await, is_free().await);
     assert!(first && second, "both naive daemons believe that they may run the request");
 
-    let book = ClaimBook::new(store.clone(), settings());
-    let other = ClaimBook::new(store, settings());
+    let client = ClaimClient::new(store.clone(), settings());
+    let other = ClaimClient::new(store, settings());
     let key = claim_key("/a/b", "one");
-    let (first, second) = tokio::join!(book.claim(&key, 1), other.claim(&key, 2));
+    let (first, second) = tokio::join!(client.claim(&key, 1), other.claim(&key, 2));
     let granted = [first, second].into_iter().filter(|v| *v == Ok(ClaimVerdict::Granted));
     assert_eq!(granted.count(), 1);
 }
@@ -117,15 +121,15 @@
 #[tokio::test(start_paused = true)]
 async fn resend_gets_status() {
     let store: SharedStore = Arc::new(FakeStore::new());
-    let (book, other) =
-        (ClaimBook::new(store.clone(), settings()), ClaimBook::new(store, settings()));
+    let (client, other) =
+        (ClaimClient::new(store.clone(), settings()), ClaimClient::new(store, settings()));
     let key = claim_key("/a/b", "one");
-    assert_eq!(book.claim(&key, 1).await, Ok(ClaimVerdict::Granted));
+    assert_eq!(client.claim(&key, 1).await, Ok(ClaimVerdict::Granted));
     assert_eq!(other.claim(&key, 2).await, Ok(ClaimVerdict::AlreadyClaimed));
-    book.ran(&key, 1, 201);
+    client.record_status(&key, 1, 201);
     // One instance commits its operations in order: once this one is answered, the outcome is
     // recorded.
-    assert_eq!(book.claim(&key, 3).await, Ok(ClaimVerdict::AlreadyRan(201)));
+    assert_eq!(client.claim(&key, 3).await, Ok(ClaimVerdict::AlreadyRan(201)));
     assert_eq!(other.claim(&key, 4).await, Ok(ClaimVerdict::AlreadyRan(201)));
 }
 
@@ -134,11 +138,11 @@
 #[tokio::test(start_paused = true)]
 async fn claim_released() {
     let store: SharedStore = Arc::new(FakeStore::new());
-    let book = ClaimBook::new(store, settings());
+    let client = ClaimClient::new(store, settings());
     let key = claim_key("/a/b", "one");
-    assert_eq!(book.claim(&key, 1).await, Ok(ClaimVerdict::Granted));
-    book.give_back(&key, 1).await;
-    assert_eq!(book.claim(&key, 2).await, Ok(ClaimVerdict::Granted));
+    assert_eq!(client.claim(&key, 1).await, Ok(ClaimVerdict::Granted));
+    client.release(&key, 1).await;
+    assert_eq!(client.claim(&key, 2).await, Ok(ClaimVerdict::Granted));
 }
 
 // The platform is unavailable. Running the request without a claim could run it twice, so it is
@@ -148,9 +152,9 @@
     let fake = Arc::new(FakeStore::new());
     let store: SharedStore = fake.clone();
     fake.set_outage(true);
-    let book = ClaimBook::new(store, settings());
+    let client = ClaimClient::new(store, settings());
     let key = claim_key("/a/b", "one");
-    assert!(book.claim(&key, 1).await.is_err());
+    assert!(client.claim(&key, 1).await.is_err());
     fake.set_outage(false);
-    assert_eq!(book.claim(&key, 2).await, Ok(ClaimVerdict::Granted));
+    assert_eq!(client.claim(&key, 2).await, Ok(ClaimVerdict::Granted));
 }
--- a/components/daemon/src/claims.rs
+++ b/components/daemon/src/claims.rs
@@ -9,7 +9,7 @@
 };
 
 use async_trait::async_trait;
-use sk_claim::{ClaimBook, claim_key};
+use sk_claim::{ClaimClient, claim_key};
 use sk_proxy::{AttemptId, ClaimGate, ClaimKey, ClaimOutcome, ClaimVerdict};
 
 /// Longest wait for a claim. The request occupies a slot of the guard meanwhile, and an unavailable
@@ -18,7 +18,7 @@
 
 /// Gives the guard access to the claim book.
 pub(crate) struct ClaimBookGate {
-    pub(crate) claim_book: Arc<ClaimBook>,
+    pub(crate) claim_book: Arc<ClaimClient>,
 }
 
 #[async_trait]
@@ -35,16 +35,16 @@
             }
             Ok(Ok(sk_claim::ClaimVerdict::AlreadyClaimed)) => ClaimVerdict::AlreadyClaimed,
             // After an error the book itself releases the claim; after a timeout the guard releases
-            // it with `settle`.
+            // it with `record_outcome`.
             Ok(Err(_)) | Err(_) => ClaimVerdict::Unavailable,
         }
     }
 
-    async fn settle(&self, key: &ClaimKey, attempt: AttemptId, outcome: ClaimOutcome) {
+    async fn record_outcome(&self, key: &ClaimKey, attempt: AttemptId, outcome: ClaimOutcome) {
         let name = claim_key(&key.service, &key.key);
         match outcome {
-            ClaimOutcome::Ran { status } => self.claim_book.ran(&name, attempt, status),
-            ClaimOutcome::NotRun => self.claim_book.give_back(&name, attempt).await,
+            ClaimOutcome::Ran { status } => self.claim_book.record_status(&name, attempt, status),
+            ClaimOutcome::NotRun => self.claim_book.release(&name, attempt).await,
             // The claim remains without an outcome, and a resend is answered accordingly.
             ClaimOutcome::Unknown => (),
         }
--- a/components/daemon/src/contacts.rs
+++ b/components/daemon/src/contacts.rs
@@ -5,10 +5,10 @@
 use std::net::SocketAddr;
 
 use async_trait::async_trait;
-use sk_spread::{ContactBook, ContactMap, SourceError};
+use sk_spread::{ContactMap, ContactStore, SourceError};
 use sk_store::{SharedStore, StoreError, StoredObject};
 
-/// The contact book, stored in the platform.
+/// The contact store, kept in the platform.
 pub(crate) struct StoreContacts {
     store: SharedStore,
     prefix: String,
@@ -21,7 +21,7 @@
 }
 
 #[async_trait]
-impl ContactBook for StoreContacts {
+impl ContactStore for StoreContacts {
     async fn read(&self) -> Result<ContactMap, SourceError> {
         let objects =
             self.store.list(&self.prefix).await.map_err(|err| store_to_source_error(&err))?;
--- a/components/daemon/src/daemon.rs
+++ b/components/daemon/src/daemon.rs
@@ -14,18 +14,19 @@
 
 use arc_swap::ArcSwapOption;
 use futures::future::join_all;
-use sk_claim::ClaimBook;
+use sk_claim::ClaimClient;
 use sk_ledger::{Ledger, LedgerSettings};
 use sk_member::{HeartbeatFilter, MemberRecord, MemberStatus, SharedMembers};
 use sk_ops::{OpsHandle, SharedPort, start_ops};
 use sk_proxy::{
-    FailedCalls, ForwardContext, GuardContext, GuardToken, LocalServers, OwnService, PeerClient,
-    ProxyCounters, QuarantineBoard, ServeHandle, SharedTable, serve_forward, serve_guard,
+    FailedCalls, ForwardContext, GuardContext, GuardToken, ListenerHandle, LocalServerList,
+    LocalServiceName, PeerClient, ProxyCounters, SharedQuarantine, SharedTable, serve_forward,
+    serve_guard,
 };
-use sk_report::ReportBook;
+use sk_report::AckBuffer;
 use sk_settings::{DaemonSettings, SpreadMode};
 use sk_spread::{
-    ControlMeter, HeldConfig, PassMode, SpreadHandle, SpreadOptions, SpreadParts, StateReader,
+    ConfigHolder, ControlMeter, ForwardMode, SpreadHandle, SpreadOptions, SpreadParts, StateReader,
     start_spread,
 };
 use sk_store::SharedStore;
@@ -39,7 +40,8 @@
     metrics::send_metrics,
     notices::QuarantineNotices,
     options::{
-        claim_settings, fleet_secret, own_service, quarantine_settings, server_limits, table_place,
+        claim_settings, fleet_secret, local_service, quarantine_settings, server_limits,
+        table_owner,
     },
     platform::PlatformAdapter,
     port::DaemonPort,
@@ -96,11 +98,11 @@
     addresses: DaemonAddresses,
     times: StopTimes,
     is_leaving: Arc<AtomicBool>,
-    own_service: OwnService,
+    local_service: LocalServiceName,
     platform: Arc<PlatformAdapter>,
     members: Arc<SharedMembers>,
-    forward: ServeHandle,
-    guard: ServeHandle,
+    forward: ListenerHandle,
+    guard: ListenerHandle,
     guard_context: Arc<GuardContext>,
     ops: Vec<OpsHandle>,
     spread: SpreadHandle,
@@ -121,16 +123,16 @@
     store: SharedStore,
     heartbeats: Arc<Mutex<HeartbeatFilter>>,
     is_leaving: Arc<AtomicBool>,
-    own_service: OwnService,
+    local_service: LocalServiceName,
     ledger: Arc<Ledger>,
-    held: Arc<HeldConfig>,
+    config: Arc<ConfigHolder>,
     members: Arc<SharedMembers>,
-    servers: Arc<LocalServers>,
+    servers: Arc<LocalServerList>,
     table: SharedTable,
-    report_book: Arc<ReportBook>,
+    report_book: Arc<AckBuffer>,
     meter: Arc<ControlMeter>,
-    claims: Arc<ClaimBook>,
-    quarantine: Arc<QuarantineBoard>,
+    claims: Arc<ClaimClient>,
+    quarantine: Arc<SharedQuarantine>,
     counters: Arc<ProxyCounters>,
     unreachable: Arc<UnreachableTimes>,
     spread: Arc<OnceLock<StateReader>>,
@@ -176,9 +178,9 @@
     let mut tasks = vec![
         tokio::spawn(tasks::build_tables(
             parts.table.clone(),
-            parts.held.clone(),
+            parts.config.clone(),
             parts.members.clone(),
-            table_place(settings),
+            table_owner(settings),
         )),
         tokio::spawn(tasks::expire_servers(parts.servers.clone(), parts.members.clone(), ttl)),
         tokio::spawn(watch_reachability(parts.unreachable.clone(), parts.members.clone())),
@@ -187,7 +189,7 @@
     ];
     tasks.extend(scrape);
     if let Some((service, address)) =
-        own_service(&parts.platform, settings).zip(settings.instance.server)
+        local_service(&parts.platform, settings).zip(settings.instance.server)
     {
         tasks.push(tokio::spawn(identify_server(own_port, service, address)));
     }
@@ -199,7 +201,7 @@
         addresses,
         times,
         is_leaving: parts.is_leaving,
-        own_service: parts.own_service,
+        local_service: parts.local_service,
         platform: parts.platform,
         members: parts.members,
         forward,
@@ -227,9 +229,9 @@
     /// Applies settings that were changed while the daemon runs. Only `instance.service` takes
     /// effect; all others need a restart.
     pub fn reload(&self, settings: &DaemonSettings) {
-        let service = own_service(&self.platform, settings);
+        let service = local_service(&self.platform, settings);
         log::info!("daemon: settings read again, service {service:?}.");
-        self.own_service.store(service.map(Arc::new));
+        self.local_service.store(service.map(Arc::new));
     }
 
     /// Stops gracefully: informs other daemons, refuses new requests and finishes those in flight
@@ -241,14 +243,14 @@
         log::info!("daemon: stopping.");
         self.is_leaving.store(true, Ordering::Release);
         let end = Instant::now() + self.times.leave + self.times.drain;
-        self.guard_context.drain.end_at(end, self.times.drain);
-        self.forward.leave();
+        self.guard_context.drain_clock.begin_drain(end, self.times.drain);
+        self.forward.announce_shutdown();
         // The local backend server keeps running, and other daemons use it until callers have left:
         // while a third of a fleet stops, callers would notice the loss of its servers.
         let notice = self.times.leave.min(GUARD_LEAVE_NOTICE);
         tokio::time::sleep(self.times.leave - notice).await;
         self.members.update(|table| table.set_status(MemberStatus::Leaving), |changed| *changed);
-        self.guard.leave();
+        self.guard.announce_shutdown();
         tokio::time::sleep(notice).await;
         self.forward.refuse_new();
         // A request that still waits for the server after half of the drain would not finish by its
@@ -256,7 +258,7 @@
         let (servers, half) = (self.guard_context.servers.clone(), self.times.drain / 2);
         self.tasks.push(tokio::spawn(async move {
             tokio::time::sleep(half).await;
-            servers.refuse_waiting();
+            servers.refuse_queued();
         }));
         let servers = &self.guard_context.servers;
         // A peer that disappeared without notice never closes its connection.
@@ -282,7 +284,7 @@
 }
 
 /// Waits until the local backend servers have been without work for [`SERVER_IDLE_TIME`].
-async fn wait_until_idle(servers: &LocalServers) {
+async fn wait_until_idle(servers: &LocalServerList) {
     let mut idle_since = Instant::now();
     while idle_since.elapsed() < SERVER_IDLE_TIME {
         tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
@@ -326,19 +328,21 @@
         LedgerSettings { key_prefix: key_prefix.clone(), ..LedgerSettings::default() };
     DaemonParts {
         ledger: Arc::new(Ledger::new(store.clone(), ledger_settings)),
-        claims: Arc::new(ClaimBook::new(store.clone(), claim_settings(&key_prefix))),
+        claims: Arc::new(ClaimClient::new(store.clone(), claim_settings(&key_prefix))),
         store,
-        own_service: Arc::new(ArcSwapOption::from(own_service(&platform, settings).map(Arc::new))),
+        local_service: Arc::new(ArcSwapOption::from(
+            local_service(&platform, settings).map(Arc::new),
+        )),
         heartbeats: Arc::default(),
         is_leaving: Arc::default(),
         platform,
-        held: Arc::default(),
+        config: Arc::default(),
         members: Arc::new(SharedMembers::new(own_record(settings, addresses))),
-        servers: Arc::new(LocalServers::new(server_limits(settings))),
+        servers: Arc::new(LocalServerList::new(server_limits(settings))),
         table: SharedTable::default(),
-        report_book: Arc::new(ReportBook::new(&key_prefix)),
+        report_book: Arc::new(AckBuffer::new(&key_prefix)),
         meter: Arc::default(),
-        quarantine: Arc::new(QuarantineBoard::new(quarantine_settings(settings))),
+        quarantine: Arc::new(SharedQuarantine::new(quarantine_settings(settings))),
         counters: Arc::default(),
         unreachable: Arc::default(),
         spread: Arc::default(),
@@ -369,7 +373,7 @@
         key_prefix: settings.platform.key_prefix.clone(),
         store: parts.store.clone(),
         ledger: parts.ledger.clone(),
-        held: parts.held.clone(),
+        config: parts.config.clone(),
         members: parts.members.clone(),
         servers: parts.servers.clone(),
         meter: parts.meter.clone(),
@@ -395,8 +399,8 @@
         secret: fleet_secret(settings),
         seeds: settings.peers.seeds.clone(),
         mode: match settings.spread.mode {
-            SpreadMode::Push => PassMode::Push,
-            SpreadMode::Announce => PassMode::Announce,
+            SpreadMode::Push => ForwardMode::Push,
+            SpreadMode::Announce => ForwardMode::Announce,
         },
         fan_out: settings.spread.fan_out,
         repair_interval: Duration::from_millis(settings.spread.repair_interval_ms),
@@ -408,12 +412,12 @@
     };
     let contacts = StoreContacts::new(parts.store.clone(), &settings.platform.key_prefix);
     let spread_parts = SpreadParts {
-        held: parts.held.clone(),
+        config: parts.config.clone(),
         members: parts.members.clone(),
         source: parts.platform.source(&parts.ledger),
         contacts: Some(Arc::new(contacts)),
         acks: Arc::new(ReportAckSink { report_book: parts.report_book.clone() }),
-        notices: Some(Arc::new(QuarantineNotices { board: parts.quarantine.clone() })),
+        notices: Some(Arc::new(QuarantineNotices { quarantine: parts.quarantine.clone() })),
         meter: parts.meter.clone(),
     };
     start_spread(options, listener, spread_parts).map_err(DaemonError::Spread)
@@ -422,16 +426,16 @@
 fn forward_context(
     settings: &DaemonSettings,
     parts: &DaemonParts,
-    guard: Arc<GuardContext>,
+    guard_context: Arc<GuardContext>,
 ) -> ForwardContext {
     ForwardContext {
         table: parts.table.clone(),
-        peers: PeerClient::new(guard.token.clone()),
-        guard,
+        peers: PeerClient::new(guard_context.token.clone()),
+        guard_context,
         counters: parts.counters.clone(),
         max_body_bytes: settings.guard.max_body_bytes,
-        words: parts.platform.words.clone(),
-        own_service: parts.own_service.clone(),
+        headers: parts.platform.headers.clone(),
+        local_service: parts.local_service.clone(),
     }
 }
 
@@ -442,9 +446,9 @@
         quarantine: parts.quarantine.clone(),
         claims: Some(Arc::new(ClaimBookGate { claim_book: parts.claims.clone() })),
         counters: parts.counters.clone(),
-        words: parts.platform.words.clone(),
+        headers: parts.platform.headers.clone(),
         failed_calls: FailedCalls::default(),
-        trips: Default::default(),
-        drain: Arc::default(),
+        transit_clocks: Default::default(),
+        drain_clock: Arc::default(),
     }
 }
--- a/components/daemon/src/dump.rs
+++ b/components/daemon/src/dump.rs
@@ -6,7 +6,7 @@
 use sk_member::{EndpointRecord, MemberRecord, ReachabilityMarks};
 use sk_model::{ProxyId, ServiceName};
 use sk_ops::{ControlView, PeerView, RequestView, ServerView, StateDump};
-use sk_proxy::{ProxyCounters, QuarantineBoard, RouteTable};
+use sk_proxy::{ProxyCounters, RouteTable, SharedQuarantine};
 use sk_spread::SpreadState;
 
 use crate::port::DaemonPort;
@@ -15,7 +15,7 @@
     /// Collects the state of this daemon.
     pub(crate) fn dump(&self) -> StateDump {
         let own = self.members.own();
-        let status = self.held.status();
+        let status = self.config.status();
         let bytes = self.meter.bytes();
         let members = self.members.snapshot();
         let marks = self.members.marks();
@@ -34,7 +34,7 @@
             suspects: self.quarantine.len() as u64,
             quarantined: count_quarantined(&self.quarantine),
             proxy_address: self.proxy_address,
-            control: view_control(spread, self.report_book.pending_centres()),
+            control: view_control(spread, self.report_book.pending_data_centres()),
             requests: view_requests(&self.counters, &self.table.load()),
             servers: servers.iter().map(|endpoint| view_server(endpoint, &guards)).collect(),
             members: members.values().map(|record| view_peer(record, &marks)).collect(),
@@ -43,11 +43,11 @@
 }
 
 /// Counts the requests that are refused now because they crash servers.
-fn count_quarantined(board: &QuarantineBoard) -> u64 {
+fn count_quarantined(quarantine: &SharedQuarantine) -> u64 {
     let refusal_time = QuarantineSettings::default().refusal_time;
     let since = Duration::from_millis(sk_model::unix_time_ms()).saturating_sub(refusal_time);
-    let entries = board.entries();
-    entries.iter().filter(|record| record.convicted_at(since).is_some()).count() as u64
+    let records = quarantine.records();
+    records.iter().filter(|record| record.convicted_at(since).is_some()).count() as u64
 }
 
 fn view_control(state: SpreadState, pending_reports: usize) -> ControlView {
@@ -67,16 +67,16 @@
 }
 
 fn view_requests(counters: &ProxyCounters, table: &RouteTable) -> RequestView {
-    let view = counters.view();
+    let counters = counters.snapshot();
     let retries_left =
-        table.services().map(|service| (service.name.to_string(), service.retries_left()));
+        table.services().map(|service| (service.name.to_string(), service.remaining_retries()));
     RequestView {
-        in_flight: view.in_flight,
-        ran: view.ran,
-        not_run: view.not_run,
-        unknown: view.unknown,
-        refused: view.refused,
-        retries: view.retries,
+        in_flight: counters.in_flight,
+        ran: counters.ran,
+        not_run: counters.not_run,
+        unknown: counters.unknown,
+        refused: counters.refused,
+        retries: counters.retries,
         retries_left: retries_left.collect(),
     }
 }
--- a/components/daemon/src/identify.rs
+++ b/components/daemon/src/identify.rs
@@ -9,7 +9,7 @@
 
 use sk_member::{EndpointStatus, ServerHeartbeat};
 use sk_model::{ServiceName, SettingBody};
-use sk_proxy::{ServerIdentity, ask_identity};
+use sk_proxy::{ServerIdentity, request_server_identity};
 use tokio::time::Instant;
 
 use crate::port::DaemonPort;
@@ -29,7 +29,7 @@
     let end = Instant::now() + IDENTIFY_TIME;
     while Instant::now() < end && port.servers.endpoints().is_empty() {
         if let Some(path) = health_path(&port, &service) {
-            match ask_identity(&*port.platform.words, address, &path).await {
+            match request_server_identity(&*port.platform.headers, address, &path).await {
                 Ok(Some(identity)) => {
                     return add_identified_server(&port, service, address, identity);
                 }
@@ -48,7 +48,7 @@
 /// Returns the health check path of a service, `None` before the first configuration or where the
 /// service has no path.
 fn health_path(port: &DaemonPort, service: &ServiceName) -> Option<String> {
-    let snapshot = port.held.current();
+    let snapshot = port.config.current();
     let setting = snapshot.settings().find(|(path, _)| *path == service)?.1;
     match setting {
         SettingBody::Service(setting) => setting.health_path.clone(),
--- a/components/daemon/src/metrics.rs
+++ b/components/daemon/src/metrics.rs
@@ -33,7 +33,7 @@
 use cadence::{BufferedUdpMetricSink, Counted, Gauged, MetricError, StatsdClient};
 use sk_member::{EndpointStatus, MemberStatus};
 use sk_ops::{OperatorPort, StateDump};
-use sk_proxy::{CounterView, ProxyCounters};
+use sk_proxy::{CounterSnapshot, ProxyCounters};
 use tokio::time::MissedTickBehavior;
 
 /// Interval between sends of some thirty lines each. It is short enough to show an outage while it
@@ -69,7 +69,7 @@
     let mut totals = SentTotals::default();
     loop {
         ticks.tick().await;
-        let sent = send_all(&client, &mut totals, &port.state(), &counters.view());
+        let sent = send_all(&client, &mut totals, &port.state(), &counters.snapshot());
         // An unavailable receiver costs the metrics of this interval only.
         if let Err(err) = sent.and_then(|()| client.flush()) {
             log::debug!("metrics: not sent: {err}.");
@@ -104,7 +104,7 @@
     client: &StatsdClient,
     totals: &mut SentTotals,
     state: &StateDump,
-    counts: &CounterView,
+    counts: &CounterSnapshot,
 ) -> Result<(), MetricError> {
     for (name, value) in list_gauges(state, counts) {
         client.gauge(&name, value)?;
@@ -116,7 +116,7 @@
     Ok(())
 }
 
-fn list_gauges(state: &StateDump, counts: &CounterView) -> Vec<(String, u64)> {
+fn list_gauges(state: &StateDump, counts: &CounterSnapshot) -> Vec<(String, u64)> {
     let rejected = state.rejected.as_ref().map_or(0, |rejected| rejected.version);
     let mut gauges = vec![
         ("config.version".to_owned(), state.version),
@@ -139,7 +139,7 @@
     gauges
 }
 
-fn list_counters(state: &StateDump, counts: &CounterView) -> Vec<(String, u64)> {
+fn list_counters(state: &StateDump, counts: &CounterSnapshot) -> Vec<(String, u64)> {
     let mut counters = vec![
         ("control.sent_bytes".to_owned(), state.control_sent),
         ("control.received_bytes".to_owned(), state.control_received),
--- a/components/daemon/src/notices.rs
+++ b/components/daemon/src/notices.rs
@@ -7,16 +7,16 @@
 
 use serde::{Deserialize, Serialize};
 use sk_decide::quarantine::{CrashEvidence, CrashKind, SuspectRecord};
-use sk_proxy::QuarantineBoard;
-use sk_spread::NoticeBoard;
+use sk_proxy::SharedQuarantine;
+use sk_spread::NoticeExchange;
 
-/// Largest number of records accepted from one message. A board holds fewer, so more are an error
-/// of the sender.
+/// Largest number of records accepted from one message. The quarantine holds fewer, so more are an
+/// error of the sender.
 const MAX_MESSAGE_RECORDS: usize = 4_096;
 
-/// Gives the control thread access to the quarantine board.
+/// Gives the control thread access to the quarantine.
 pub(crate) struct QuarantineNotices {
-    pub(crate) board: Arc<QuarantineBoard>,
+    pub(crate) quarantine: Arc<SharedQuarantine>,
 }
 
 /// A suspected request as it is sent between daemons, in JSON.
@@ -43,19 +43,19 @@
     Trial,
 }
 
-impl NoticeBoard for QuarantineNotices {
+impl NoticeExchange for QuarantineNotices {
     fn revision(&self) -> u64 {
-        self.board.revision()
+        self.quarantine.revision()
     }
 
-    fn take_changed(&self) -> Option<Vec<u8>> {
-        encode(&self.board.take_changed())
+    fn encode_changed(&self) -> Option<Vec<u8>> {
+        encode(&self.quarantine.take_changed())
     }
 
-    fn everything(&self) -> Option<Vec<u8>> {
-        match self.board.is_empty() {
+    fn encode_all(&self) -> Option<Vec<u8>> {
+        match self.quarantine.is_empty() {
             true => None,
-            false => encode(&self.board.entries()),
+            false => encode(&self.quarantine.records()),
         }
     }
 
@@ -68,7 +68,7 @@
             return false;
         }
         let records: Vec<SuspectRecord> = records.into_iter().map(from_wire).collect();
-        self.board.merge(&records);
+        self.quarantine.merge(&records);
         true
     }
 }
--- a/components/daemon/src/options.rs
+++ b/components/daemon/src/options.rs
@@ -11,13 +11,13 @@
     retrying::RetrySettings,
 };
 use sk_model::ServiceName;
-use sk_proxy::{ServerLimits, TablePlace, TableTuning};
+use sk_proxy::{ServerLimits, TableOwner, TableTuning};
 use sk_settings::{DaemonSettings, Mechanism, PlacingOrder};
 
 use crate::platform::PlatformAdapter;
 
 /// Returns the service of the local backend server, `None` where the settings name none.
-pub(crate) fn own_service(
+pub(crate) fn local_service(
     platform: &PlatformAdapter,
     settings: &DaemonSettings,
 ) -> Option<ServiceName> {
@@ -41,9 +41,9 @@
 }
 
 /// Returns the daemon's location and tuning for its route table.
-pub(crate) fn table_place(settings: &DaemonSettings) -> TablePlace {
+pub(crate) fn table_owner(settings: &DaemonSettings) -> TableOwner {
     let instance = &settings.instance;
-    TablePlace {
+    TableOwner {
         proxy: instance.name.clone(),
         data_centre: instance.data_centre.clone(),
         region: instance.region.clone(),
--- a/components/daemon/src/platform.rs
+++ b/components/daemon/src/platform.rs
@@ -7,7 +7,7 @@
 use sk_adapter::{ObjectApi, PlatformSource, PlatformStore, PlatformWords, service_path};
 use sk_ledger::Ledger;
 use sk_model::ServiceName;
-use sk_proxy::{OwnWords, RequestWords};
+use sk_proxy::{HeaderTranslation, NativeHeaders};
 use sk_settings::{PlatformKind, PlatformSettings};
 use sk_spread::ConfigSource;
 use sk_store::{HttpStore, SharedStore};
@@ -20,7 +20,7 @@
     /// Store of everything that must outlast the fleet's processes.
     pub(crate) store: SharedStore,
     /// Reads and writes the headers of callers and backend servers.
-    pub(crate) words: Arc<dyn RequestWords>,
+    pub(crate) headers: Arc<dyn HeaderTranslation>,
     /// Configuration that is not written by this fleet, `None` on Sapphirekeel's own platform.
     external: Option<Arc<dyn ConfigSource>>,
 }
@@ -34,7 +34,7 @@
             PlatformKind::Own => Self {
                 form: settings.form,
                 store: Arc::new(HttpStore::new(&address, timeout)),
-                words: Arc::new(OwnWords),
+                headers: Arc::new(NativeHeaders),
                 external: None,
             },
             PlatformKind::Objects => {
@@ -42,7 +42,7 @@
                 Self {
                     form: settings.form,
                     store: Arc::new(PlatformStore::new(api.clone())),
-                    words: Arc::new(PlatformWords),
+                    headers: Arc::new(PlatformWords),
                     external: Some(Arc::new(PlatformSource::new(api))),
                 }
             }
--- a/components/daemon/src/port.rs
+++ b/components/daemon/src/port.rs
@@ -24,13 +24,13 @@
     StateDump, TeamRecord, TeamView,
 };
 use sk_proxy::{
-    LocalServer, LocalServers, ProxyCounters, QuarantineBoard, SharedTable, process_now,
+    LocalServer, LocalServerList, ProxyCounters, SharedQuarantine, SharedTable, time_since_start,
 };
 use sk_report::{
-    ChangeReport, FleetReport, KnownProxy, ReportBook, ReportError, make_change_report,
-    make_report, read_acks, read_times,
+    AckBuffer, ChangeReport, FleetReport, KnownProxy, ReportError, make_change_report,
+    make_fleet_report, read_acks, read_in_force_times,
 };
-use sk_spread::{ControlMeter, HeldConfig, StateReader};
+use sk_spread::{ConfigHolder, ControlMeter, StateReader};
 use sk_store::SharedStore;
 
 use crate::{
@@ -46,15 +46,15 @@
     pub(crate) key_prefix: String,
     pub(crate) store: SharedStore,
     pub(crate) ledger: Arc<Ledger>,
-    pub(crate) held: Arc<HeldConfig>,
+    pub(crate) config: Arc<ConfigHolder>,
     pub(crate) members: Arc<SharedMembers>,
-    pub(crate) servers: Arc<LocalServers>,
+    pub(crate) servers: Arc<LocalServerList>,
     pub(crate) meter: Arc<ControlMeter>,
     pub(crate) unreachable: Arc<UnreachableTimes>,
-    pub(crate) quarantine: Arc<QuarantineBoard>,
+    pub(crate) quarantine: Arc<SharedQuarantine>,
     pub(crate) counters: Arc<ProxyCounters>,
     pub(crate) table: SharedTable,
-    pub(crate) report_book: Arc<ReportBook>,
+    pub(crate) report_book: Arc<AckBuffer>,
     /// Set as soon as the control thread runs.
     pub(crate) spread: Arc<OnceLock<StateReader>>,
     pub(crate) proxy_address: SocketAddr,
@@ -99,7 +99,7 @@
     }
 
     async fn outcome(&self, change_id: &str) -> Result<Option<ChangeRecord>, OpsError> {
-        let record = self.ledger.outcome(change_id).await;
+        let record = self.ledger.find_change(change_id).await;
         record.map_err(|err| OpsError::from_ledger(&err, unix_time_ms()))
     }
 
@@ -121,14 +121,14 @@
         let snapshot = self.load_accepted().await?;
         let acks = read_acks(&self.store, &self.key_prefix).await;
         let acks = acks.map_err(report_to_ops_error)?;
-        Ok(make_report(snapshot.root.change.clone(), &self.known_proxies(), &acks))
+        Ok(make_fleet_report(snapshot.root.change.clone(), &self.known_proxies(), &acks))
     }
 
     async fn change_report(&self, version: Version) -> Result<ChangeReport, OpsError> {
         let not_found = || OpsError::NotFound { what: format!("version {version}") };
         let record = self.history(version, 1).await?.into_iter().next();
         let record = record.filter(|record| record.version == version).ok_or_else(not_found)?;
-        let times = read_times(&self.store, &self.key_prefix, version).await;
+        let times = read_in_force_times(&self.store, &self.key_prefix, version).await;
         let times = times.map_err(report_to_ops_error)?;
         let acks = read_acks(&self.store, &self.key_prefix).await.map_err(report_to_ops_error)?;
         Ok(make_change_report(record, &times, &self.known_proxies(), &acks))
@@ -166,15 +166,21 @@
         };
         let readmit = |table: &mut MemberTable| table.readmit_server(&endpoint.server);
         self.members.update(readmit, |()| false);
-        let (name, announced) = (endpoint.server.clone(), Instant::now());
-        self.servers.announce(LocalServer { name, endpoint, address, announced, warm_up: None });
+        let (name, last_announced_at) = (endpoint.server.clone(), Instant::now());
+        self.servers.announce(LocalServer {
+            name,
+            endpoint,
+            address,
+            last_announced_at,
+            warm_up: None,
+        });
         publish_endpoints(&self.servers, &self.members);
         Ok(())
     }
 
     fn ready(&self) -> Option<Version> {
-        let version = self.held.status().version;
-        let is_ready = self.held.is_ready() && !self.is_leaving.load(Ordering::Acquire);
+        let version = self.config.status().version;
+        let is_ready = self.config.is_ready() && !self.is_leaving.load(Ordering::Acquire);
         (is_ready && version > 0).then_some(version)
     }
 
@@ -192,7 +198,7 @@
             },
             warm_up: Duration::from_millis(beat.warm_up_left),
         };
-        match self.lock_heartbeats().classify(&heartbeat, process_now()) {
+        match self.lock_heartbeats().classify(&heartbeat, time_since_start()) {
             HeartbeatStatus::Current => self.apply_heartbeat(heartbeat),
             HeartbeatStatus::Stale => {
                 log::info!("ops: ignored a stale heartbeat of server {name}.")
@@ -202,9 +208,10 @@
     }
 
     fn leave(&self, name: &str) -> Result<(), OpsError> {
-        let server_id = self.lock_heartbeats().record_leave(name, unix_time_ms(), process_now());
+        let server_id =
+            self.lock_heartbeats().record_leave(name, unix_time_ms(), time_since_start());
         log::info!("ops: server {name} deregistered.");
-        if server_id.is_some_and(|server_id| self.servers.retire(&server_id)) {
+        if server_id.is_some_and(|server_id| self.servers.drain_server(&server_id)) {
             publish_endpoints(&self.servers, &self.members);
         }
         Ok(())
@@ -216,9 +223,9 @@
     /// one received where the configuration is not written by this fleet.
     async fn load_accepted(&self) -> Result<Arc<ConfigSnapshot>, OpsError> {
         if self.platform.is_external() {
-            return Ok(self.held.newest());
+            return Ok(self.config.newest());
         }
-        let snapshot = self.ledger.load(&self.held.current()).await;
+        let snapshot = self.ledger.load(&self.config.current()).await;
         snapshot.map(Arc::new).map_err(|err| OpsError::from_ledger(&err, unix_time_ms()))
     }
 
@@ -232,7 +239,7 @@
     pub(crate) fn apply_heartbeat(&self, heartbeat: ServerHeartbeat) {
         let server = heartbeat.server_id();
         self.members.update(|table| table.readmit_server(&server), |()| false);
-        self.servers.displace(heartbeat.address, &server);
+        self.servers.remove_others_at(heartbeat.address, &server);
         let endpoint = EndpointRecord {
             service: heartbeat.service,
             server,
@@ -243,7 +250,7 @@
             name: heartbeat.name,
             endpoint,
             address: heartbeat.address,
-            announced: Instant::now(),
+            last_announced_at: Instant::now(),
             warm_up: Some(heartbeat.warm_up),
         });
         publish_endpoints(&self.servers, &self.members);
--- a/components/daemon/src/scrape.rs
+++ b/components/daemon/src/scrape.rs
@@ -150,7 +150,7 @@
 
 fn add_counters(registry: &Registry, parts: &ScrapeParts) -> Result<(), prometheus::Error> {
     let writer = MetricWriter(registry);
-    let counts = parts.counters.view();
+    let counts = parts.counters.snapshot();
     let outcomes = [("ran", counts.ran), ("not-run", counts.not_run), ("unknown", counts.unknown)];
     writer.counter(
         "sapphirekeel_requests_total",
--- a/components/daemon/src/source.rs
+++ b/components/daemon/src/source.rs
@@ -1,12 +1,13 @@
-//! The ledger as configuration source, and the report book as receiver of acknowledgements.
+//! The ledger as configuration source, and the acknowledgement buffer as receiver of
+//! acknowledgements.
 
 use std::{sync::Arc, time::Duration};
 
 use async_trait::async_trait;
 use sk_ledger::{Ledger, LedgerError};
 use sk_model::{ConfigSnapshot, ProxyAck};
-use sk_report::ReportBook;
-use sk_spread::{AckSink, ConfigSource, SourceError, SourceNews};
+use sk_report::AckBuffer;
+use sk_spread::{AckSink, ConfigSource, SourceError, WatchResult};
 use tokio::time::Instant;
 
 /// Gives the control thread access to the ledger.
@@ -24,11 +25,11 @@
         &self,
         held: &ConfigSnapshot,
         timeout: Duration,
-    ) -> Result<SourceNews, SourceError> {
+    ) -> Result<WatchResult, SourceError> {
         let began = Instant::now();
         let newer = self.ledger.wait_newer(held, timeout).await.map_err(ledger_to_source_error)?;
-        let seen_at = if newer.is_none() { began + timeout } else { began };
-        Ok(SourceNews { newer, seen_at })
+        let read_at = if newer.is_none() { began + timeout } else { began };
+        Ok(WatchResult { newer, read_at })
     }
 }
 
@@ -36,13 +37,13 @@
     SourceError { reason: err.to_string() }
 }
 
-/// Passes acknowledgements from the control thread to the report book.
+/// Passes acknowledgements from the control thread to the acknowledgement buffer.
 pub(crate) struct ReportAckSink {
-    pub(crate) report_book: Arc<ReportBook>,
+    pub(crate) report_book: Arc<AckBuffer>,
 }
 
 impl AckSink for ReportAckSink {
-    fn note(&self, acks: Vec<ProxyAck>) {
-        self.report_book.note(acks);
+    fn record(&self, acks: Vec<ProxyAck>) {
+        self.report_book.add(acks);
     }
 }
--- a/components/daemon/src/tasks.rs
+++ b/components/daemon/src/tasks.rs
@@ -11,9 +11,9 @@
     LocalReachability, MemberRecord, MemberSnapshot, ReachabilityMarks, SharedMembers,
 };
 use sk_model::ServiceName;
-use sk_proxy::{LocalServers, RouteTable, SharedTable, TablePlace, process_now};
-use sk_report::ReportBook;
-use sk_spread::HeldConfig;
+use sk_proxy::{LocalServerList, RouteTable, SharedTable, TableOwner, time_since_start};
+use sk_report::AckBuffer;
+use sk_spread::ConfigHolder;
 use sk_store::SharedStore;
 
 /// Interval between checks for backend servers that no longer announce themselves.
@@ -22,19 +22,24 @@
 /// Rebuilds the route table whenever the configuration or the members change.
 pub(crate) async fn build_tables(
     table: SharedTable,
-    held: Arc<HeldConfig>,
+    config: Arc<ConfigHolder>,
     members: Arc<SharedMembers>,
-    place: TablePlace,
+    owner: TableOwner,
 ) {
-    let mut versions = held.subscribe();
+    let mut versions = config.subscribe();
     let mut snapshots = members.subscribe();
     loop {
         versions.mark_unchanged();
         let snapshot = snapshots.borrow_and_update().clone();
         let records = usable_records(&snapshot, &members.marks());
         let before = table.load_full();
-        let next =
-            RouteTable::build(&before, &held.current(), records.into_iter(), &place, process_now());
+        let next = RouteTable::build(
+            &before,
+            &config.current(),
+            records.into_iter(),
+            &owner,
+            time_since_start(),
+        );
         table.store(Arc::new(next));
         let is_open = tokio::select! {
             changed = versions.changed() => changed.is_ok(),
@@ -72,30 +77,30 @@
 }
 
 /// Announces the local backend servers to the other daemons.
-pub(crate) fn publish_endpoints(servers: &LocalServers, members: &SharedMembers) {
+pub(crate) fn publish_endpoints(servers: &LocalServerList, members: &SharedMembers) {
     let endpoints = servers.endpoints();
     members.update(|table| table.set_endpoints(endpoints), |changed| *changed);
 }
 
 /// Removes backend servers that no longer announce themselves.
 pub(crate) async fn expire_servers(
-    servers: Arc<LocalServers>,
+    servers: Arc<LocalServerList>,
     members: Arc<SharedMembers>,
     ttl: Duration,
 ) {
     loop {
         tokio::time::sleep(EXPIRE_INTERVAL).await;
-        servers.expire(Instant::now(), ttl);
+        servers.remove_expired(Instant::now(), ttl);
         publish_endpoints(&servers, &members);
     }
 }
 
 /// Writes acknowledgements to the platform, with a pause before each write.
-pub(crate) async fn flush_reports(book: Arc<ReportBook>, store: SharedStore, pause: Duration) {
+pub(crate) async fn flush_reports(buffer: Arc<AckBuffer>, store: SharedStore, pause: Duration) {
     let outage = OutageLog::new("report", "the platform's store");
     loop {
         tokio::time::sleep(pause).await;
-        match book.flush(&store).await {
+        match buffer.flush(&store).await {
             Ok(()) => outage.record_success(),
             Err(err) => outage.record_failure(&err),
         }
--- a/components/ledger/src/commit.rs
+++ b/components/ledger/src/commit.rs
@@ -219,7 +219,7 @@
         let records = entries.into_iter().map(|entry| entry.record).filter(is_conflicting);
         let mut conflicting: Vec<_> = records.collect();
         conflicting.drain(..conflicting.len().saturating_sub(MAX_CONFLICTING_RECORDS));
-        Err(TryError::Final(SubmitError::Raced { conflicting }))
+        Err(TryError::Final(SubmitError::Conflict { conflicting }))
     }
 
     /// Writes the entries that leave the tail, each by its id and all together as a history chunk.
--- a/components/ledger/src/error.rs
+++ b/components/ledger/src/error.rs
@@ -13,7 +13,7 @@
 pub enum SubmitError {
     /// The subtree of the team changed after the base of the request. The change was not applied.
     #[error("the subtree has {} changes newer than the base", conflicting.len())]
-    Raced {
+    Conflict {
         /// Changes of the subtree since the base, oldest first: at least one, and at most the
         /// newest 16 that the head still holds.
         conflicting: Vec<ChangeRecord>,
--- a/components/ledger/src/ledger.rs
+++ b/components/ledger/src/ledger.rs
@@ -72,7 +72,7 @@
     /// # Errors
     ///
     /// Returns a [`LedgerError`] if the platform is unavailable or its data is corrupt.
-    pub async fn outcome(&self, change_id: &str) -> Result<Option<ChangeRecord>, LedgerError> {
+    pub async fn find_change(&self, change_id: &str) -> Result<Option<ChangeRecord>, LedgerError> {
         if check_change_id(change_id).is_err() {
             // No change was ever accepted under such an id, which must not become part of a key.
             return Ok(None);
@@ -130,9 +130,9 @@
         }
     }
 
-    /// Returns the records from version `from` on in the order of their versions, at most `most`
-    /// and never more than [`MAX_HISTORY_RECORDS`]. Takes one call for the head and one for each 8
-    /// records that have left it.
+    /// Returns the records from version `from` on in the order of their versions, at most
+    /// `max_records` and never more than [`MAX_HISTORY_RECORDS`]. Takes one call for the head and
+    /// one for each 8 records that have left it.
     ///
     /// # Errors
     ///
@@ -140,10 +140,10 @@
     pub async fn history(
         &self,
         from: Version,
-        most: usize,
+        max_records: usize,
     ) -> Result<Vec<ChangeRecord>, LedgerError> {
         let (head, _) = self.read_head().await.map_err(|err| self.to_ledger_error(err))?;
-        let entries = self.read_entries(&head, from, most.min(MAX_HISTORY_RECORDS)).await;
+        let entries = self.read_entries(&head, from, max_records.min(MAX_HISTORY_RECORDS)).await;
         let entries = entries.map_err(|err| self.to_ledger_error(err))?;
         Ok(entries.into_iter().map(|entry: LedgerEntry| entry.record).collect())
     }
--- a/components/ledger/src/read.rs
+++ b/components/ledger/src/read.rs
@@ -95,25 +95,25 @@
         decode(&object).map(Arc::new)
     }
 
-    /// Returns at most `most` entries in the order of their versions, first from history and then
-    /// from the tail of the head.
+    /// Returns at most `max_records` entries in the order of their versions, first from history and
+    /// then from the tail of the head.
     pub(crate) async fn read_entries(
         &self,
         head: &LedgerHead,
         from: Version,
-        most: usize,
+        max_records: usize,
     ) -> Result<Vec<LedgerEntry>, ReadError> {
         let mut entries = Vec::new();
         let from = from.max(1);
         let mut start = chunk_start(from);
-        while start < head.first_version() && entries.len() < most {
+        while start < head.first_version() && entries.len() < max_records {
             let chunk = self.read_chunk(start).await?;
             entries.extend(chunk.into_iter().filter(|entry| entry.record.version >= from));
             start += CHUNK_RECORDS as Version;
         }
         let tail = head.tail.iter().filter(|entry| entry.record.version >= from);
         entries.extend(tail.cloned());
-        entries.truncate(most);
+        entries.truncate(max_records);
         Ok(entries)
     }
 
--- a/components/ledger/tests/first_change.rs
+++ b/components/ledger/tests/first_change.rs
@@ -23,8 +23,8 @@
     let record = ledger.submit(&request, 5).await.expect("accepted");
     assert_eq!(record.version, 1);
     assert_eq!(ledger.submit(&request, 6).await, Ok(record.clone()));
-    assert_eq!(ledger.outcome("c1").await, Ok(Some(record.clone())));
-    assert_eq!(ledger.outcome("c2").await, Ok(None));
+    assert_eq!(ledger.find_change("c1").await, Ok(Some(record.clone())));
+    assert_eq!(ledger.find_change("c2").await, Ok(None));
     assert_eq!(ledger.history(0, 10).await, Ok(vec![record]));
     let newer = ledger.wait_newer(&empty, Duration::from_secs(1)).await;
     let newer = newer.expect("up").expect("newer");
--- a/components/ledger/tests/long_history.rs
+++ b/components/ledger/tests/long_history.rs
@@ -22,11 +22,11 @@
     let ledger = quick_ledger(&store);
     write_many(&ledger, 1, 45).await;
     for from in 0..48_u64 {
-        for most in [0, 1, 7, 8, 9, 100] {
-            let records = ledger.history(from, most).await.expect("up");
+        for max_records in [0, 1, 7, 8, 9, 100] {
+            let records = ledger.history(from, max_records).await.expect("up");
             let versions: Vec<_> = records.iter().map(|record| record.version).collect();
-            let expected: Vec<_> = (from.max(1)..46).take(most).collect();
-            assert_eq!(versions, expected, "{from} {most}");
+            let expected: Vec<_> = (from.max(1)..46).take(max_records).collect();
+            assert_eq!(versions, expected, "{from} {max_records}");
         }
     }
     let chunks = store.list("sapphirekeel/history/").await.expect("up").len();
@@ -44,7 +44,7 @@
     assert!(matches!(reused, Err(SubmitError::IdReused { record }) if record.version == 1));
     let stale = request("c41", "bor", 0, &[("/one/value", Some(value(2)))]);
     let raced = ledger.submit(&stale, 99).await;
-    assert!(matches!(raced, Err(SubmitError::Raced { conflicting }) if !conflicting.is_empty()));
+    assert!(matches!(raced, Err(SubmitError::Conflict { conflicting }) if !conflicting.is_empty()));
 }
 
 /// A look-up is suspended between its two reads while the record moves from the head to history.
@@ -58,7 +58,7 @@
     let reader_store = FaultStore::new(&store.inner);
     let reader = quick_ledger(&reader_store);
     reader_store.plan_faults(&[sk_store::CallFault::None, Pause]);
-    let task = tokio::spawn(async move { reader.outcome("c1").await });
+    let task = tokio::spawn(async move { reader.find_change("c1").await });
     if !reader_store.wait_ended_or_paused(&task).await {
         write_many(&ledger, 2, 30).await;
         reader_store.resume();
--- a/components/ledger/tests/lost_answers.rs
+++ b/components/ledger/tests/lost_answers.rs
@@ -32,7 +32,7 @@
         let answer = ledger.submit(&change, 1).await;
         assert_eq!(answer, Err(SubmitError::Unknown { change_id: "c1".to_owned() }));
         store.plan_faults(&[]);
-        assert_eq!(ledger.outcome("c1").await.expect("up").is_some(), is_in_force);
+        assert_eq!(ledger.find_change("c1").await.expect("up").is_some(), is_in_force);
         assert_eq!(ledger.submit(&change, 2).await.expect("accepted").version, 1);
         assert_eq!(ledger.history(1, 9).await.expect("up").len(), 1);
     }
@@ -77,7 +77,7 @@
 async fn resolved_by_others() {
     let writes = [("/one/service", Some(service()))];
     let (_, answer) = submit_around(LoseRequest, &[request("c2", "bor", 0, &writes)]).await;
-    assert!(matches!(answer, Err(SubmitError::Raced { conflicting }) if conflicting.len() == 1));
+    assert!(matches!(answer, Err(SubmitError::Conflict { conflicting }) if conflicting.len() == 1));
     let (_, answer) = submit_around(LoseRequest, &[request("c1", "bor", 0, &writes)]).await;
     assert!(matches!(answer, Err(SubmitError::IdReused { .. })));
 }
--- a/components/ledger/tests/naive/mod.rs
+++ b/components/ledger/tests/naive/mod.rs
@@ -75,7 +75,7 @@
                 return Ok(Err(SubmitError::IdReused { record }));
             }
             None if head.team_version(&request.team) > request.base => {
-                return Ok(Err(SubmitError::Raced { conflicting: Vec::new() }));
+                return Ok(Err(SubmitError::Conflict { conflicting: Vec::new() }));
             }
             None => {}
         }
@@ -160,7 +160,7 @@
 pub fn label(answer: &Answer) -> String {
     match answer {
         Ok(record) => format!("accepted {}", record.version),
-        Err(SubmitError::Raced { .. }) => "raced".to_owned(),
+        Err(SubmitError::Conflict { .. }) => "raced".to_owned(),
         Err(SubmitError::Invalid { .. }) => "invalid".to_owned(),
         Err(SubmitError::Malformed(_)) => "malformed".to_owned(),
         Err(SubmitError::IdReused { .. }) => "reused".to_owned(),
--- a/components/ledger/tests/operator_session.rs
+++ b/components/ledger/tests/operator_session.rs
@@ -18,7 +18,7 @@
     let id = &change.change_id;
     let answer = match ledger.submit(change, now).await {
         Ok(record) => format!("accepted {}", show_record(&record)),
-        Err(SubmitError::Raced { conflicting }) => {
+        Err(SubmitError::Conflict { conflicting }) => {
             let records: Vec<_> = conflicting.iter().map(show_record).collect();
             format!("raced with {}", records.join(", "))
         }
--- a/components/ledger/tests/racing_operators.rs
+++ b/components/ledger/tests/racing_operators.rs
@@ -246,7 +246,7 @@
         for id in self.requests.iter().map(|request| &request.change_id).collect::<BTreeSet<_>>() {
             let known = self.model.accepted.iter().find(|request| request.change_id == *id);
             let known = known.and_then(|request| self.model.version_of(request));
-            let found = reader.outcome(id).await.map_err(|err| err.to_string())?;
+            let found = reader.find_change(id).await.map_err(|err| err.to_string())?;
             if found.map(|record| record.version) != known {
                 return Err(format!("the look-up of {id} is wrong"));
             }
--- a/components/ledger/tests/request_bounds.rs
+++ b/components/ledger/tests/request_bounds.rs
@@ -74,5 +74,5 @@
     let change = request("c17", "ana", 16, &[("/one/value17", Some(value(&text)))]);
     let answer = ledger.submit(&change, 1).await;
     assert!(matches!(answer, Err(SubmitError::TooLarge { size, .. }) if size > 1_000_000));
-    assert_eq!(ledger.outcome("c17").await, Ok(None));
+    assert_eq!(ledger.find_change("c17").await, Ok(None));
 }
--- a/components/measure/src/claims.rs
+++ b/components/measure/src/claims.rs
@@ -7,7 +7,7 @@
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
-use sk_claim::{ClaimBook, ClaimSettings, ClaimVerdict, claim_key};
+use sk_claim::{ClaimClient, ClaimSettings, ClaimVerdict, claim_key};
 use sk_standin::{PlatformOptions, start_platform};
 use sk_store::{HttpStore, SharedStore};
 use tokio::task::JoinSet;
@@ -42,9 +42,9 @@
 enum ClaimMethod {
     /// One object for each key, created only if absent.
     Object(SharedStore),
-    /// Groups of claims committed together to the partitions' heads, one claim book for each
+    /// Groups of claims committed together to the partitions' heads, one claim client for each
     /// daemon.
-    Groups(Arc<Vec<ClaimBook>>),
+    Groups(Arc<Vec<ClaimClient>>),
 }
 
 /// Measures each method at the offered rates, in claims a second, for `seconds` each. `writers` is
@@ -78,9 +78,9 @@
     let platform = start_platform(&PlatformOptions::default())?;
     let address = platform.address().to_string();
     let store = || -> SharedStore { Arc::new(HttpStore::new(&address, CALL_TIMEOUT)) };
-    let book = |_| ClaimBook::new(store(), ClaimSettings::default());
+    let client = |_| ClaimClient::new(store(), ClaimSettings::default());
     let method = match writers {
-        Some(count) => ClaimMethod::Groups(Arc::new((0..count).map(book).collect())),
+        Some(count) => ClaimMethod::Groups(Arc::new((0..count).map(client).collect())),
         None => ClaimMethod::Object(store()),
     };
     let begin = Instant::now();
@@ -119,9 +119,9 @@
     let begin = Instant::now();
     let is_granted = match method {
         ClaimMethod::Object(store) => store.create(&key, String::new()).await.is_ok(),
-        ClaimMethod::Groups(books) => {
-            let book = &books[number as usize % books.len()];
-            book.claim(&key, number).await == Ok(ClaimVerdict::Granted)
+        ClaimMethod::Groups(clients) => {
+            let client = &clients[number as usize % clients.len()];
+            client.claim(&key, number).await == Ok(ClaimVerdict::Granted)
         }
     };
     is_granted.then(|| begin.elapsed())
--- a/components/ops/src/error.rs
+++ b/components/ops/src/error.rs
@@ -79,7 +79,7 @@
     /// Converts a refusal of the ledger; `now` is the start of a wait before a retry.
     pub fn from_submit(err: SubmitError, now: UnixMillis) -> Self {
         match err {
-            SubmitError::Raced { conflicting } => Self::Raced { conflicting },
+            SubmitError::Conflict { conflicting } => Self::Raced { conflicting },
             SubmitError::Invalid { faults } => Self::Invalid { faults },
             SubmitError::IdReused { record } => Self::IdReused { record },
             SubmitError::NotAccepted { retry_after } => {
--- a/components/proxy/src/attempt.rs
+++ b/components/proxy/src/attempt.rs
@@ -21,7 +21,7 @@
     attempt_record::AttemptTarget,
     body::{CheckedBody, ProxyBody},
     call::{AttemptTerms, GuardCall},
-    clock::process_now,
+    clock::time_since_start,
     context::{ForwardContext, count_own_refusal},
     entry::EntryRequest,
     entry_answer::EndpointCall,
@@ -131,7 +131,7 @@
 
 /// Passes the guard's hints about an endpoint on to placement.
 fn record_hints(service: &TableService, id: EndpointId, hints: &ReadHints) {
-    let now = process_now();
+    let now = time_since_start();
     if let Some(percent) = hints.load {
         service.placement.record_load(id, f64::from(percent.min(100)) / 100.0, now);
     }
@@ -169,7 +169,7 @@
     let bytes = request.body.sample().len() as u64 + service.placement.usual_size(work);
     let wanted =
         PlaceRequest { class, work, bytes, exclude: &exclude, may_probe, needs_free_slot, goal };
-    service.placement.choose(&wanted, process_now(), &mut rand::rng()).ok()
+    service.placement.choose(&wanted, time_since_start(), &mut rand::rng()).ok()
 }
 
 /// Returns the refusal of a call that may not be passed on: too many hops or too little time.
@@ -199,7 +199,7 @@
     terms: &AttemptTerms,
 ) -> AttemptMessage {
     let (name, server) = (service.name.clone(), endpoint.server.clone());
-    let from = context.own_service.load().as_ref().map(|from| Arc::from(from.as_str()));
+    let from = context.local_service.load().as_ref().map(|from| Arc::from(from.as_str()));
     let call = GuardCall::new(name, server, from, terms, &request.traits);
     AttemptMessage { request: request.head().map(|()| body), call }
 }
@@ -212,7 +212,7 @@
 ) -> Response<ProxyBody> {
     let AttemptMessage { request, call } = message;
     if endpoint.is_own {
-        return forward_to_server(Arc::clone(&context.guard), request, call, None).await;
+        return forward_to_server(Arc::clone(&context.guard_context), request, call, None).await;
     }
     match context.peers.send(request, call, &endpoint.guard).await {
         Ok(response) => {
@@ -268,10 +268,10 @@
         return AttemptEnd::Answered(response.map(body));
     }
     if let Some(end) = end {
-        running.placed.finish(end, latency, process_now());
+        running.placed.finish(end, latency, time_since_start());
     }
     history.may_have_run |= outcome != RequestOutcome::NotRun;
-    if outcome != RequestOutcome::NotRun || kind == Some(RefusalKind::ServerRejected) {
+    if outcome != RequestOutcome::NotRun || kind == Some(RefusalKind::RejectedByServer) {
         history.server_attempts += 1;
     }
     let response = match request.body.is_over_limit() {
@@ -288,12 +288,12 @@
     status == StatusCode::INTERNAL_SERVER_ERROR
         && service.budget.settings().retries_server_failures
         && can_meet_goal(service, request)
-        && service.failure_budget.take(process_now())
+        && service.failure_budget.take(time_since_start())
 }
 
 /// Returns whether a further attempt would likely meet the response-time goal.
 fn can_meet_goal(service: &TableService, request: &EntryRequest) -> bool {
-    let usual = service.placement.usual_work(request.traits.work, process_now());
+    let usual = service.placement.usual_work(request.traits.work, time_since_start());
     request.goal_remaining().is_some_and(|goal| usual <= goal)
 }
 
@@ -356,7 +356,7 @@
     {
         return RetryVerdict::GiveUp(GiveUpReason::RefusalsTooSlow);
     }
-    if request.max_attempts.is_some_and(|most| history.server_attempts >= most) {
+    if request.max_attempts.is_some_and(|max| history.server_attempts >= max) {
         return RetryVerdict::GiveUp(GiveUpReason::ServerLimitReached);
     }
     let attempt = FailedAttempt {
@@ -368,7 +368,7 @@
         remaining: request.remaining(),
         expected: Duration::ZERO,
     };
-    let verdict = may_retry(&attempt, &service.budget, process_now(), &mut rand::rng());
+    let verdict = may_retry(&attempt, &service.budget, time_since_start(), &mut rand::rng());
     match verdict {
         RetryVerdict::GiveUp(reason) => {
             context.counters.count_denied();
--- a/components/proxy/src/attempt_history.rs
+++ b/components/proxy/src/attempt_history.rs
@@ -14,7 +14,7 @@
 use crate::{
     attempt_record::{AttemptRecord, AttemptTarget},
     body::ProxyBody,
-    clock::process_now,
+    clock::time_since_start,
     hints::ReadHints,
 };
 
@@ -56,7 +56,7 @@
                 took,
             ));
             let transit = hints.guard_time.map(|guard_time| took.saturating_sub(guard_time));
-            running.placed.record_head(transit, process_now());
+            running.placed.record_head(transit, time_since_start());
         }
     }
 
@@ -88,7 +88,7 @@
     pub(crate) fn finish_late(self, outcome: CallOutcome) {
         let took = self.began.elapsed();
         if took >= MIN_FAILURE_WAIT {
-            self.placed.finish(outcome, took, process_now());
+            self.placed.finish(outcome, took, time_since_start());
         }
     }
 }
--- a/components/proxy/src/claim.rs
+++ b/components/proxy/src/claim.rs
@@ -12,7 +12,7 @@
 
 /// Longest wait until it is recorded that a claimed request did not run. After it the refusal is
 /// sent all the same: it is true, and a resend is then answered with "unknown", which is safe.
-const SETTLE_TIMEOUT: Duration = Duration::from_millis(500);
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Identifies a keyed request: no two requests that may both run share a key.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Hash)]
@@ -66,7 +66,7 @@
     /// Records how an attempt ended. Also called for an attempt whose claim was abandoned before
     /// its verdict was known, then with [`ClaimOutcome::NotRun`]: an implementation must treat
     /// this as a claim that it never saw, and must not grant that claim later.
-    async fn settle(&self, key: &ClaimKey, attempt: AttemptId, outcome: ClaimOutcome);
+    async fn record_outcome(&self, key: &ClaimKey, attempt: AttemptId, outcome: ClaimOutcome);
 }
 
 /// A claim that is settled when this is dropped, however the request ended. A claim that stayed
@@ -114,8 +114,8 @@
     /// retry at another daemon is granted.
     pub(crate) async fn release_unrun(mut self) {
         self.outcome = None;
-        let settle = self.gate.settle(&self.key, self.attempt, ClaimOutcome::NotRun);
-        if tokio::time::timeout(SETTLE_TIMEOUT, settle).await.is_err() {
+        let release = self.gate.record_outcome(&self.key, self.attempt, ClaimOutcome::NotRun);
+        if tokio::time::timeout(RELEASE_TIMEOUT, release).await.is_err() {
             log::info!("guard: a claim on a request that did not run was not released in time.");
         }
     }
@@ -127,7 +127,7 @@
         let (gate, key, attempt) = (self.gate.clone(), self.key.clone(), self.attempt);
         // Outside a runtime the process is ending, and the claim expires by itself.
         if let Ok(runtime) = tokio::runtime::Handle::try_current() {
-            runtime.spawn(async move { gate.settle(&key, attempt, outcome).await });
+            runtime.spawn(async move { gate.record_outcome(&key, attempt, outcome).await });
         }
     }
 }
--- a/components/proxy/src/clock.rs
+++ b/components/proxy/src/clock.rs
@@ -15,7 +15,7 @@
     LazyLock::new(|| (Instant::now(), Duration::from_secs(1)));
 
 /// Returns the time since about the start of this process, on the monotonic clock.
-pub fn process_now() -> Duration {
+pub fn time_since_start() -> Duration {
     START.0.elapsed() + START.1
 }
 
--- a/components/proxy/src/context.rs
+++ b/components/proxy/src/context.rs
@@ -9,8 +9,9 @@
 
 use crate::{
     body::ProxyBody, call::GuardToken, claim::ClaimGate, counters::ProxyCounters,
-    drain::DrainClock, failed_calls::FailedCalls, local::LocalServers, outcome::RefusalKind,
-    peers::PeerClient, quarantine::QuarantineBoard, table::SharedTable, words::RequestWords,
+    drain::DrainClock, failed_calls::FailedCalls, header_translation::HeaderTranslation,
+    local::LocalServerList, outcome::RefusalKind, peers::PeerClient, quarantine::SharedQuarantine,
+    table::SharedTable,
 };
 
 /// Shared state of the entry side.
@@ -20,42 +21,42 @@
     /// Connections to other daemons' guards.
     pub peers: PeerClient,
     /// The guard of this daemon.
-    pub guard: Arc<GuardContext>,
+    pub guard_context: Arc<GuardContext>,
     /// Counts.
     pub counters: Arc<ProxyCounters>,
     /// Largest body of a request, in bytes.
     pub max_body_bytes: u64,
     /// Translation of the headers that callers use.
-    pub words: Arc<dyn RequestWords>,
+    pub headers: Arc<dyn HeaderTranslation>,
     /// Service beside this daemon, as its settings name it; servers receive it as the origin of a
     /// request.
-    pub own_service: OwnService,
+    pub local_service: LocalServiceName,
 }
 
 /// The service beside a daemon, which changes with the daemon's settings.
-pub type OwnService = Arc<ArcSwapOption<ServiceName>>;
+pub type LocalServiceName = Arc<ArcSwapOption<ServiceName>>;
 
 /// Shared state of the guard side.
 pub struct GuardContext {
     /// Backend servers beside this daemon.
-    pub servers: Arc<LocalServers>,
+    pub servers: Arc<LocalServerList>,
     /// Token that the daemons of the fleet send.
     pub token: GuardToken,
     /// Requests that crash servers.
-    pub quarantine: Arc<QuarantineBoard>,
+    pub quarantine: Arc<SharedQuarantine>,
     /// Where keyed requests are claimed. If there is none, they are refused as not run, because
     /// nothing could distinguish a second copy from the first.
     pub claims: Option<Arc<dyn ClaimGate>>,
     /// Counts.
     pub counters: Arc<ProxyCounters>,
     /// Translation of the headers that the server uses.
-    pub words: Arc<dyn RequestWords>,
+    pub headers: Arc<dyn HeaderTranslation>,
     /// Failed calls of the server, for the log lines of the requests for which it made them.
     pub failed_calls: FailedCalls,
     /// Clocks of the sending daemons, by which transit delays are estimated.
-    pub trips: Mutex<TransitClocks>,
+    pub transit_clocks: Mutex<TransitClocks>,
     /// Time by which this daemon must have answered, once it stops.
-    pub drain: Arc<DrainClock>,
+    pub drain_clock: Arc<DrainClock>,
 }
 
 /// Counts a refusal that this daemon made as the entry daemon, and returns it.
--- a/components/proxy/src/counters.rs
+++ b/components/proxy/src/counters.rs
@@ -41,7 +41,7 @@
 
 /// Snapshot of the counters for a dump.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CounterView {
+pub struct CounterSnapshot {
     /// Callers' requests in this daemon now.
     pub in_flight: u64,
     /// Callers' requests that a server answered.
@@ -68,12 +68,12 @@
     }
 
     /// Returns a snapshot of the counters.
-    pub fn view(&self) -> CounterView {
+    pub fn snapshot(&self) -> CounterSnapshot {
         let counted = RefusalKind::ALL.iter().zip(&self.refusals);
         let refused = counted
             .map(|(kind, count)| (kind.as_str().to_owned(), load(count)))
             .filter(|(_, count)| *count > 0);
-        CounterView {
+        CounterSnapshot {
             in_flight: load(&self.in_flight),
             ran: load(&self.outcomes[RequestOutcome::Ran as usize]),
             not_run: load(&self.outcomes[RequestOutcome::NotRun as usize]),
--- a/components/proxy/src/drain.rs
+++ b/components/proxy/src/drain.rs
@@ -20,7 +20,7 @@
 
 impl DrainClock {
     /// Begins a drain of length `drain` that ends at `end`.
-    pub fn end_at(&self, end: Instant, drain: Duration) {
+    pub fn begin_drain(&self, end: Instant, drain: Duration) {
         let reserve = ANSWER_RESERVE.min(drain / ANSWER_RESERVE_DIVISOR);
         self.0.send_replace(Some(end.checked_sub(reserve).unwrap_or(end)));
     }
--- a/components/proxy/src/entry_answer.rs
+++ b/components/proxy/src/entry_answer.rs
@@ -7,7 +7,7 @@
 use sk_decide::placing::{CallOutcome, PlacedCall};
 
 use crate::{
-    body::BodyError, clock::process_now, counters::ProxyCounters, headers::header_text,
+    body::BodyError, clock::time_since_start, counters::ProxyCounters, headers::header_text,
     tracked_body::BodyEndHandler,
 };
 
@@ -58,7 +58,7 @@
     /// Reports the result to the endpoint's placement record, if there is one.
     fn finish(self, outcome: Option<CallOutcome>) {
         if let Some(outcome) = outcome {
-            self.placed.finish(outcome, self.latency, process_now());
+            self.placed.finish(outcome, self.latency, time_since_start());
         }
     }
 }
--- a/components/proxy/src/exchange.rs
+++ b/components/proxy/src/exchange.rs
@@ -22,6 +22,7 @@
     claim::{ClaimOutcome, PendingClaim},
     context::GuardContext,
     gate::AdmitPermit,
+    header_translation::{AnswerVerdict, ServerRequestInfo},
     headers::{strip_hop_headers, strip_own_headers},
     hints::write_service_time,
     local::GuardedServer,
@@ -32,7 +33,6 @@
     times::TimeStage,
     tracked_body::TrackedBody,
     transfers::ScheduledBody,
-    words::{AnswerVerdict, RequestNote},
 };
 
 /// Divisor of the response-time goal that yields the window over which the retries of callers are
@@ -96,7 +96,7 @@
     mut admitted: AdmittedRequest,
     stage: &mut SendStage,
 ) -> Response<ProxyBody> {
-    let attempt = context.words.attempt(request.headers()).cloned();
+    let attempt = context.headers.attempt_id(request.headers()).cloned();
     let mut request = server_request(context, request, server, call, admitted.deadline);
     let mut copy = resendable_copy(&request, call);
     loop {
@@ -129,15 +129,15 @@
                     permit: admitted.permit,
                 };
                 let (status, headers) = (response.status(), response.headers());
-                let verdict = context.words.read_answer(status, headers, attempt.as_ref());
+                let verdict = context.headers.classify_answer(status, headers, attempt.as_ref());
                 let took = admitted.admitted_at.elapsed();
                 let outcome = if status.is_server_error() { "failed" } else { "answered" };
                 let times = context.counters.times();
                 times.observe(&call.service, outcome, TimeStage::Server, took);
-                let is_own = matches!(verdict, AnswerVerdict::Sound | AnswerVerdict::NotExecuted);
+                let is_own = matches!(verdict, AnswerVerdict::Valid | AnswerVerdict::NotExecuted);
                 server.record_end(status.is_server_error() || !is_own);
                 return match verdict {
-                    AnswerVerdict::Sound => {
+                    AnswerVerdict::Valid => {
                         let timing = (admitted.upload_time + took, admitted.deadline);
                         stream_answer(response, exchange, admitted.claim, timing)
                     }
@@ -299,7 +299,7 @@
             if let Some(claim) = claim {
                 claim.release_unrun().await;
             }
-            refuse_with_delay(RefusalKind::ServerRejected, shed_retry_delay(goal))
+            refuse_with_delay(RefusalKind::RejectedByServer, shed_retry_delay(goal))
         }
         verdict => {
             log::warn!("guard: server {id} sent an invalid answer to a request: {verdict:?}.");
@@ -335,12 +335,12 @@
     *request.uri_mut() = path.map_or_else(http::Uri::default, http::Uri::from);
     *request.version_mut() = http::Version::HTTP_11;
     let headers = request.headers_mut();
-    let note = RequestNote {
+    let info = ServerRequestInfo {
         context: remaining_context(call, deadline),
         server: &server.name,
         from: call.from.as_deref(),
     };
-    context.words.write_request(headers, &note);
+    context.headers.write_request(headers, &info);
     if !headers.contains_key(header::HOST) {
         headers.insert(header::HOST, server.host.clone());
     }
--- a/components/proxy/src/forward.rs
+++ b/components/proxy/src/forward.rs
@@ -39,7 +39,7 @@
     strip_hints(response.headers_mut());
     request_log.write_answered(&response);
     count.set_attempt(request_log.attempt());
-    context.words.write_answer(&mut response);
+    context.headers.write_answer(&mut response);
     let outcome = RequestOutcome::read(response.headers()).unwrap_or(RequestOutcome::Unknown);
     context.counters.count_outcome(outcome);
     let service = request_log.service().unwrap_or(NO_SERVICE);
@@ -54,7 +54,7 @@
     request: &Request<Incoming>,
     caller: IpAddr,
 ) -> RequestLog {
-    let attempt = context.words.attempt(request.headers()).cloned();
+    let attempt = context.headers.attempt_id(request.headers()).cloned();
     let (method, host) = (request.method().clone(), host_of(request));
     RequestLog::new(context.clone(), attempt, caller, method, host, request.uri().path())
 }
@@ -76,9 +76,9 @@
         return refuse_unrouted(context, &table);
     };
     let deadline = Duration::from_millis(route.setting.deadline_ms);
-    let remaining = context.words.remaining(request.headers());
+    let remaining = context.headers.remaining(request.headers());
     let mut call = read_context(request.headers(), remaining, deadline);
-    call.remaining = context.guard.drain.bound_remaining(call.remaining);
+    call.remaining = context.guard_context.drain_clock.bound_remaining(call.remaining);
     request_log.set_service(&route.service.name);
     request_log.deadline = Some(call.remaining);
     (request_log.rank, request_log.goal_ms) = (route.setting.rank, route.setting.goal_ms);
@@ -104,7 +104,8 @@
     let deadline = request.began + request.call.remaining;
     let history = &mut request_log.history;
     let answer = answer_request(context, route.service, &mut request, history, deadline);
-    let answered = context.guard.drain.await_until(deadline, ENTRY_GRACE, answer).await;
+    let answered =
+        context.guard_context.drain_clock.await_until(deadline, ENTRY_GRACE, answer).await;
     let mut response = answered.unwrap_or_else(|| time_out(context, history));
     // A failure that a server answered itself takes precedence over a daemon's refusal of a later
     // attempt.
@@ -159,6 +160,7 @@
 
 /// Returns where a request comes from: a service beside this daemon, or a caller outside.
 fn origin_of(context: &ForwardContext, request: &Request<Incoming>, caller: IpAddr) -> CallOrigin {
-    let service = is_nested(request.headers()).then(|| context.guard.servers.first_service());
+    let service =
+        is_nested(request.headers()).then(|| context.guard_context.servers.first_service());
     service.flatten().map_or(CallOrigin::Outside(caller), CallOrigin::Nested)
 }
--- a/components/proxy/src/gate.rs
+++ b/components/proxy/src/gate.rs
@@ -18,7 +18,7 @@
 use slotmap::SecondaryMap;
 use tokio::sync::{Notify, oneshot};
 
-use crate::clock::process_now;
+use crate::clock::time_since_start;
 
 type WaitSender = oneshot::Sender<Result<(), RefusalReason>>;
 type WaitReceiver = oneshot::Receiver<Result<(), RefusalReason>>;
@@ -105,7 +105,7 @@
         request: &GuardRequest,
         link: &LinkBacklog,
     ) -> Result<(), Refusal> {
-        self.lock().guard.consider_upload(request, link, process_now(), &mut rand::rng())
+        self.lock().guard.consider_upload(request, link, time_since_start(), &mut rand::rng())
     }
 
     /// Refuses all new and queued requests from now on; running ones continue.
@@ -117,19 +117,19 @@
 
     /// Returns the load in percent and the time that a request would now wait for a slot.
     pub(crate) fn load_and_wait(&self) -> (u32, Duration) {
-        let (state, now) = (self.lock(), process_now());
+        let (state, now) = (self.lock(), time_since_start());
         ((state.guard.load(now) * 100.0).round() as u32, state.guard.wait_hint(now))
     }
 
     /// Returns the counts.
     pub(crate) fn state(&self) -> GuardState {
-        self.lock().guard.state(process_now())
+        self.lock().guard.state(time_since_start())
     }
 
     /// Sets how many large answers wait for the link.
     pub(crate) fn set_waiting_answers(&self, answers: usize) {
         let mut state = self.lock();
-        let released = state.guard.set_waiting_answers(answers, process_now());
+        let released = state.guard.set_waiting_answers(answers, time_since_start());
         state.deliver(released);
     }
 
@@ -138,7 +138,7 @@
     pub(crate) fn take_in_flight(&self) -> Vec<InFlightRequest> {
         let mut state = self.lock();
         let mut requests = std::mem::take(&mut state.broken);
-        let since = process_now().saturating_sub(ABANDONED_WINDOW);
+        let since = time_since_start().saturating_sub(ABANDONED_WINDOW);
         let abandoned = std::mem::take(&mut state.abandoned).into_iter();
         requests.extend(abandoned.filter(|(at, _)| *at >= since).map(|(_, request)| request));
         let running = state.sent.iter().map(|(ticket, fingerprint)| InFlightRequest {
@@ -165,9 +165,9 @@
         request: &GuardRequest,
     ) -> Result<(AdmitPermit, Option<WaitReceiver>), Refusal> {
         let mut state = self.lock();
-        let released = state.guard.evict_less_urgent(request, process_now());
+        let released = state.guard.evict_less_urgent(request, time_since_start());
         state.deliver(released);
-        let admission = state.guard.offer(request, process_now(), &mut rand::rng());
+        let admission = state.guard.offer(request, time_since_start(), &mut rand::rng());
         match admission {
             Admission::Refused(refusal) => Err(refusal),
             Admission::Run(ticket) => Ok((self.permit(ticket), None)),
@@ -190,7 +190,7 @@
     }
 
     fn refuse(&self, reason: RefusalReason) -> Refusal {
-        self.lock().guard.refuse(reason, process_now(), &mut rand::rng())
+        self.lock().guard.refuse(reason, time_since_start(), &mut rand::rng())
     }
 
     fn lock(&self) -> MutexGuard<'_, GateState> {
@@ -219,15 +219,16 @@
     fn end(&mut self, ticket: Ticket, is_complete: bool) {
         if let Some(fingerprint) = self.sent.remove(ticket).filter(|_| !is_complete) {
             let is_trial = self.guard.is_trial(ticket);
-            self.abandoned.push_back((process_now(), InFlightRequest { fingerprint, is_trial }));
+            self.abandoned
+                .push_back((time_since_start(), InFlightRequest { fingerprint, is_trial }));
             if self.abandoned.len() > MAX_ABANDONED {
                 self.abandoned.pop_front();
             }
         }
         self.waiting.remove(ticket);
         let released = match is_complete {
-            true => self.guard.finish(ticket, process_now()),
-            false => self.guard.cancel(ticket, process_now()),
+            true => self.guard.finish(ticket, time_since_start()),
+            false => self.guard.cancel(ticket, time_since_start()),
         };
         self.deliver(released);
     }
@@ -273,7 +274,7 @@
     loop {
         let next = {
             let mut state = gate.lock();
-            let released = state.guard.expire(process_now());
+            let released = state.guard.expire(time_since_start());
             state.deliver(released);
             let next = state.guard.next_expiry();
             state.has_expiry_task = next.is_some();
@@ -281,7 +282,7 @@
         };
         let Some(next) = next else { return };
         tokio::select! {
-            () = tokio::time::sleep(next.saturating_sub(process_now())) => (),
+            () = tokio::time::sleep(next.saturating_sub(time_since_start())) => (),
             () = gate.queued.notified() => (),
         }
     }
--- a/components/proxy/src/guard.rs
+++ b/components/proxy/src/guard.rs
@@ -23,7 +23,7 @@
     body::{CheckedBody, ProxyBody},
     call::GuardCall,
     claim::{ClaimKey, ClaimVerdict, PendingClaim},
-    clock::process_now,
+    clock::time_since_start,
     context::GuardContext,
     exchange::{AdmittedRequest, SendStage, send},
     gate::AdmitPermit,
@@ -63,7 +63,7 @@
             return daemon_answer(StatusCode::BAD_REQUEST, RequestOutcome::NotRun, kind);
         }
         Some(mut call) => {
-            let mut clocks = context.trips.lock().unwrap_or_else(PoisonError::into_inner);
+            let mut clocks = context.transit_clocks.lock().unwrap_or_else(PoisonError::into_inner);
             let transit_delay = call.mark_received(&mut clocks, accepted_at);
             (call, transit_delay)
         }
@@ -85,13 +85,13 @@
 ) -> Response<ProxyBody> {
     strip_hop_headers(request.headers_mut());
     strip_own_headers(request.headers_mut());
-    let attempt = context.words.attempt(request.headers()).cloned();
+    let attempt = context.headers.attempt_id(request.headers()).cloned();
     let at = Instant::now();
-    let deadline = context.drain.bound(at + call.context().remaining);
+    let deadline = context.drain_clock.bound(at + call.context().remaining);
     let arrival = CallArrival { at, deadline, is_over_link: transit_delay.is_some() };
     let mut abandon_log = AbandonLog::new(attempt, at, transit_delay.unwrap_or_default());
     let answer = admit_and_send(&context, request, &call, arrival, &mut abandon_log.stage);
-    let mut response = match context.drain.await_until(deadline, GUARD_GRACE, answer).await {
+    let mut response = match context.drain_clock.await_until(deadline, GUARD_GRACE, answer).await {
         Some(response) => response,
         // Dropping the exchange has closed its connection, which tells the server to stop, and a
         // late answer can no longer reach any caller.
@@ -221,7 +221,7 @@
     call: &GuardCall,
 ) -> QuarantineVerdict {
     let verdict = context.quarantine.judge(call.fingerprint);
-    let attempt = context.words.attempt(request.headers());
+    let attempt = context.headers.attempt_id(request.headers());
     let attempt = header_text(attempt);
     let fingerprint = format_args!("{:x}", call.fingerprint);
     match verdict {
@@ -241,7 +241,7 @@
 /// Describes a call for the admission to the gate.
 fn guard_request(call: &GuardCall, deadline: Instant, is_exclusive: bool) -> GuardRequest {
     let remaining = deadline.saturating_duration_since(Instant::now());
-    let now = process_now();
+    let now = time_since_start();
     GuardRequest {
         class: call.class,
         flow: call.flow(),
--- a/components/proxy/src/words.rs
+++ b/components/proxy/src/header_translation.rs
@@ -1,6 +1,6 @@
 //! Translation of the headers that callers and backend servers use. The request path itself only
 //! knows the types here, so a platform's header names stay in one implementation of
-//! [`RequestWords`].
+//! [`HeaderTranslation`].
 
 use std::{fmt::Debug, time::Duration};
 
@@ -14,7 +14,7 @@
 
 /// What a backend server receives about a request, beside the caller's own headers.
 #[derive(Clone, Copy, Debug)]
-pub struct RequestNote<'a> {
+pub struct ServerRequestInfo<'a> {
     /// Remaining time, and the context that nested calls carry on.
     pub context: CallContext,
     /// Name of the intended server; another server must not run the request.
@@ -27,13 +27,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerVerdict {
     /// The answer to the request that was sent.
-    Sound,
+    Valid,
     /// The server rejected the request: it did not run there and will not.
     NotExecuted,
     /// The answer to another request. Answers on this connection no longer match their requests.
-    Foreign,
+    OtherRequest,
     /// An answer that cannot be the server's complete result. The request may have run.
-    Unproven,
+    Incomplete,
 }
 
 /// Identity that a backend server reports in the answer to a health request.
@@ -46,22 +46,22 @@
 }
 
 /// The headers of one platform. An implementation translates and decides nothing.
-pub trait RequestWords: Debug + Send + Sync {
+pub trait HeaderTranslation: Debug + Send + Sync {
     /// Returns the id of the caller's attempt, which servers repeat in their answers.
-    fn attempt<'a>(&self, headers: &'a HeaderMap) -> Option<&'a HeaderValue>;
+    fn attempt_id<'a>(&self, headers: &'a HeaderMap) -> Option<&'a HeaderValue>;
 
     /// Returns the id of the request for which a server makes this call, if the call's id contains
     /// it. Used only in logs.
-    fn parent<'a>(&self, attempt: &'a HeaderValue) -> Option<&'a str>;
+    fn parent_request_id<'a>(&self, attempt: &'a HeaderValue) -> Option<&'a str>;
 
     /// Returns how long the caller will wait, if the request states it.
     fn remaining(&self, headers: &HeaderMap) -> Option<Duration>;
 
     /// Writes the headers for the server, replacing whatever the caller sent under these names.
-    fn write_request(&self, headers: &mut HeaderMap, note: &RequestNote<'_>);
+    fn write_request(&self, headers: &mut HeaderMap, info: &ServerRequestInfo<'_>);
 
     /// Classifies the head of a server's answer to an attempt.
-    fn read_answer(
+    fn classify_answer(
         &self,
         status: StatusCode,
         headers: &HeaderMap,
@@ -79,14 +79,14 @@
 
 /// The headers of sapphirekeel's own interface.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct OwnWords;
+pub struct NativeHeaders;
 
-impl RequestWords for OwnWords {
-    fn attempt<'a>(&self, _headers: &'a HeaderMap) -> Option<&'a HeaderValue> {
+impl HeaderTranslation for NativeHeaders {
+    fn attempt_id<'a>(&self, _headers: &'a HeaderMap) -> Option<&'a HeaderValue> {
         None
     }
 
-    fn parent<'a>(&self, _attempt: &'a HeaderValue) -> Option<&'a str> {
+    fn parent_request_id<'a>(&self, _attempt: &'a HeaderValue) -> Option<&'a str> {
         None
     }
 
@@ -94,17 +94,17 @@
         read_number(headers, crate::headers::DEADLINE_HEADER).map(Duration::from_millis)
     }
 
-    fn write_request(&self, headers: &mut HeaderMap, note: &RequestNote<'_>) {
-        write_context(headers, &note.context);
+    fn write_request(&self, headers: &mut HeaderMap, info: &ServerRequestInfo<'_>) {
+        write_context(headers, &info.context);
     }
 
-    fn read_answer(
+    fn classify_answer(
         &self,
         _status: StatusCode,
         _headers: &HeaderMap,
         _attempt: Option<&HeaderValue>,
     ) -> AnswerVerdict {
-        AnswerVerdict::Sound
+        AnswerVerdict::Valid
     }
 
     fn read_identity(&self, _status: StatusCode, _headers: &HeaderMap) -> Option<ServerIdentity> {
--- a/components/proxy/src/identity.rs
+++ b/components/proxy/src/identity.rs
@@ -11,7 +11,7 @@
 use thiserror::Error;
 use tokio::{net::TcpStream, time::timeout};
 
-use crate::words::{RequestWords, ServerIdentity};
+use crate::header_translation::{HeaderTranslation, ServerIdentity};
 
 /// Time for an answer. The server is on the same instance; a server whose slots are taken answers
 /// only after the work of others.
@@ -39,18 +39,18 @@
 /// # Errors
 ///
 /// Returns an [`IdentityError`] if there is no answer.
-pub async fn ask_identity(
-    words: &dyn RequestWords,
+pub async fn request_server_identity(
+    headers: &dyn HeaderTranslation,
     address: SocketAddr,
     path: &str,
 ) -> Result<Option<ServerIdentity>, IdentityError> {
-    let answered = timeout(IDENTITY_TIMEOUT, ask(words, address, path)).await;
+    let answered = timeout(IDENTITY_TIMEOUT, ask(headers, address, path)).await;
     answered.unwrap_or(Err(IdentityError::Timeout))
 }
 
 /// Sends the health request on a connection of its own and reads the identity from the answer.
 async fn ask(
-    words: &dyn RequestWords,
+    headers: &dyn HeaderTranslation,
     address: SocketAddr,
     path: &str,
 ) -> Result<Option<ServerIdentity>, IdentityError> {
@@ -63,5 +63,5 @@
     // The connection is not needed any longer, whatever the answer is.
     connection.abort();
     let answer = answer?;
-    Ok(words.read_identity(answer.status(), answer.headers()))
+    Ok(headers.read_identity(answer.status(), answer.headers()))
 }
--- a/components/proxy/src/lib.rs
+++ b/components/proxy/src/lib.rs
@@ -24,6 +24,7 @@
 mod forward;
 mod gate;
 mod guard;
+mod header_translation;
 mod headers;
 mod hints;
 mod identity;
@@ -42,31 +43,32 @@
 mod tracked_body;
 mod transfers;
 mod upload;
-mod words;
 
 pub use body::{BodyError, ProxyBody};
 pub use call::GuardToken;
 pub use claim::{AttemptId, ClaimGate, ClaimKey, ClaimOutcome, ClaimVerdict};
-pub use clock::process_now;
-pub use context::{ForwardContext, GuardContext, OwnService};
-pub use counters::{CounterView, ProxyCounters};
+pub use clock::time_since_start;
+pub use context::{ForwardContext, GuardContext, LocalServiceName};
+pub use counters::{CounterSnapshot, ProxyCounters};
 pub use drain::DrainClock;
 pub use failed_calls::FailedCalls;
 pub use forward::forward;
+pub use header_translation::{
+    AnswerVerdict, HeaderTranslation, NativeHeaders, ServerIdentity, ServerRequestInfo,
+};
 pub use headers::{DEADLINE_HEADER, HOPS_HEADER, RETRIED_HEADER};
-pub use identity::{IdentityError, ask_identity};
-pub use local::{LocalServer, LocalServers, ServerLimits};
+pub use identity::{IdentityError, request_server_identity};
+pub use local::{LocalServer, LocalServerList, ServerLimits};
 pub use outcome::{
     EARLIER_STATUS_HEADER, OUTCOME_HEADER, REASON_HEADER, RETRY_AFTER_MS_HEADER, RefusalKind,
     RequestOutcome,
 };
 pub use peers::PeerClient;
-pub use quarantine::QuarantineBoard;
-pub use serve::{ServeHandle, serve_forward, serve_guard};
+pub use quarantine::SharedQuarantine;
+pub use serve::{ListenerHandle, serve_forward, serve_guard};
 pub use sk_decide::quarantine::SuspectRecord;
 pub use table::{
-    RouteMatch, RouteTable, ServiceKey, SharedTable, TableEndpoint, TablePlace, TableService,
+    RouteMatch, RouteTable, ServiceKey, SharedTable, TableEndpoint, TableOwner, TableService,
     TableTuning,
 };
 pub use times::{RequestTimes, TimeStage};
-pub use words::{AnswerVerdict, OwnWords, RequestNote, RequestWords, ServerIdentity};
--- a/components/proxy/src/local.rs
+++ b/components/proxy/src/local.rs
@@ -22,7 +22,7 @@
 use sk_model::ServiceName;
 
 use crate::{
-    clock::process_now, gate::AdmissionGate, hints::ServerHints, outcome::RefusalKind,
+    clock::time_since_start, gate::AdmissionGate, hints::ServerHints, outcome::RefusalKind,
     pool::ServerPool, transfers::TransferScheduler,
 };
 
@@ -39,7 +39,7 @@
     /// Address that it listens on.
     pub address: SocketAddr,
     /// Time of the last announcement.
-    pub announced: Instant,
+    pub last_announced_at: Instant,
     /// How much longer it warms up after its start; `None` if only the limits define it.
     pub warm_up: Option<Duration>,
 }
@@ -91,13 +91,13 @@
 
 /// All backend servers beside this daemon, by service.
 #[derive(Default)]
-pub struct LocalServers {
+pub struct LocalServerList {
     limits: ServerLimits,
     current: ArcSwap<ServerMap>,
     lock: Mutex<()>,
 }
 
-impl LocalServers {
+impl LocalServerList {
     /// Creates an empty list.
     pub fn new(limits: ServerLimits) -> Self {
         Self { limits, ..Self::default() }
@@ -125,7 +125,7 @@
                     current_entry.guarded
                 }
                 current_entry => {
-                    current_entry.iter().for_each(|entry| retire(&entry.guarded));
+                    current_entry.iter().for_each(|entry| drain_guard(&entry.guarded));
                     log::info!(
                         slots = server.endpoint.slots,
                         address:% = server.address;
@@ -142,7 +142,7 @@
             }
             if is_draining(&server) {
                 guarded.has_announced_drain.store(true, Ordering::Release);
-                retire(&guarded);
+                drain_guard(&guarded);
             }
             servers.insert(service, ServerEntry { server, guarded });
         });
@@ -150,7 +150,7 @@
 
     /// Removes all other servers listed at the address of process `id`: an address that is used
     /// again belongs to its newest owner alone.
-    pub fn displace(&self, address: SocketAddr, id: &ServerId) {
+    pub fn remove_others_at(&self, address: SocketAddr, id: &ServerId) {
         let is_other =
             |entry: &ServerEntry| entry.server.address == address && entry.guarded.id != *id;
         if self.current.load().values().any(is_other) {
@@ -160,7 +160,7 @@
 
     /// Lets a server finish its requests and accept no more, for the rest of its process's life,
     /// and returns whether it is listed here.
-    pub fn retire(&self, id: &str) -> bool {
+    pub fn drain_server(&self, id: &str) -> bool {
         let current_entry =
             self.current.load().values().find(|entry| entry.guarded.id == id).cloned();
         let Some(mut entry) = current_entry else { return false };
@@ -171,11 +171,12 @@
 
     /// Removes servers that have not announced themselves for `ttl`, and closes connections that
     /// have been idle for long.
-    pub fn expire(&self, now: Instant, ttl: Duration) {
+    pub fn remove_expired(&self, now: Instant, ttl: Duration) {
         let current = self.current.load_full();
         current.values().for_each(|entry| entry.guarded.pool.close_idle(now));
-        let is_old =
-            |entry: &ServerEntry| now.saturating_duration_since(entry.server.announced) >= ttl;
+        let is_old = |entry: &ServerEntry| {
+            now.saturating_duration_since(entry.server.last_announced_at) >= ttl
+        };
         if current.values().any(is_old) {
             self.retain(|entry| !is_old(entry));
         }
@@ -192,7 +193,7 @@
     }
 
     /// Refuses the requests that wait for a server here, and all new ones, as not run.
-    pub fn refuse_waiting(&self) {
+    pub fn refuse_queued(&self) {
         self.current.load().values().for_each(|entry| entry.guarded.gate.drain());
     }
 
@@ -231,12 +232,12 @@
             servers.retain(|_, entry| {
                 let is_kept = is_kept(entry);
                 if !is_kept {
-                    let silent_ms = entry.server.announced.elapsed().as_millis() as u64;
+                    let silent_ms = entry.server.last_announced_at.elapsed().as_millis() as u64;
                     log::info!(
                         silent_ms;
                         "guard: removed server {} from the local servers.", entry.guarded.id
                     );
-                    retire(&entry.guarded);
+                    drain_guard(&entry.guarded);
                 }
                 is_kept
             });
@@ -246,7 +247,7 @@
     /// Creates the guard state of a new server process.
     fn make_guarded(&self, server: &LocalServer) -> Arc<GuardedServer> {
         let mut settings = GuardSettings { slots: server.endpoint.slots, ..self.limits.guard };
-        let mut started_at = process_now();
+        let mut started_at = time_since_start();
         if let Some(warm_up) = server.warm_up {
             settings.warm_up = warm_up;
             // A guard treats a start at zero as that of a warm server.
@@ -330,7 +331,7 @@
 }
 
 /// Lets a server finish its requests and accept no more.
-fn retire(guarded: &GuardedServer) {
+fn drain_guard(guarded: &GuardedServer) {
     guarded.is_retired.store(true, Ordering::Release);
     guarded.gate.drain();
     guarded.pool.close();
--- a/components/proxy/src/outcome.rs
+++ b/components/proxy/src/outcome.rs
@@ -59,7 +59,7 @@
     /// Converts the outcome for the retry decision; a rejection by the server counts apart.
     pub(crate) fn run_outcome(self, kind: Option<RefusalKind>) -> RunOutcome {
         match self {
-            Self::NotRun if kind == Some(RefusalKind::ServerRejected) => {
+            Self::NotRun if kind == Some(RefusalKind::RejectedByServer) => {
                 RunOutcome::RejectedByServer
             }
             Self::NotRun => RunOutcome::NotRun,
@@ -145,7 +145,7 @@
     /// The answer cannot be the server's complete answer to this request.
     AnswerInvalid = "answer-unsound",
     /// The server received the request and reported that it did not run it.
-    ServerRejected = "turned-away",
+    RejectedByServer = "turned-away",
 }
 
 impl RefusalKind {
--- a/components/proxy/src/peers.rs
+++ b/components/proxy/src/peers.rs
@@ -29,7 +29,7 @@
 use crate::{
     body::ProxyBody,
     call::{GuardCall, GuardToken},
-    clock::{process_now, transit_now, whole_micros},
+    clock::{time_since_start, transit_now, whole_micros},
     sockets::probe_opened,
 };
 
@@ -216,12 +216,12 @@
 
     /// Records a use now.
     fn touch(&self) {
-        self.used_us.store(whole_micros(process_now()), Ordering::Relaxed);
+        self.used_us.store(whole_micros(time_since_start()), Ordering::Relaxed);
     }
 
     fn is_idle(&self) -> bool {
         let used = Duration::from_micros(self.used_us.load(Ordering::Relaxed));
-        process_now().saturating_sub(used) >= MAX_IDLE
+        time_since_start().saturating_sub(used) >= MAX_IDLE
     }
 }
 
--- a/components/proxy/src/pool.rs
+++ b/components/proxy/src/pool.rs
@@ -16,7 +16,7 @@
 use thiserror::Error;
 use tokio::{net::TcpStream, sync::Notify};
 
-use crate::{body::ProxyBody, clock::process_now, sockets::probe_opened};
+use crate::{body::ProxyBody, clock::time_since_start, sockets::probe_opened};
 
 /// Time for a connection to open. The server is on the same instance: it answers in a fraction of
 /// a millisecond or is not running.
@@ -100,7 +100,7 @@
                 if let Some(found) = state.take_idle(is_repeatable) {
                     return Ok(found);
                 }
-                let verdict = state.pacer.request_connection(process_now());
+                let verdict = state.pacer.request_connection(time_since_start());
                 if verdict == ConnectVerdict::Full && !state.idle.is_empty() {
                     // The oldest connection is not trusted either; it is closed to allow a new
                     // one.
@@ -123,7 +123,7 @@
 
     /// Records that the server had dropped a connection that was idle for this long.
     pub(crate) fn record_stale(&self, idle: Duration) {
-        self.lock().idle_limit.record_stale(idle, process_now());
+        self.lock().idle_limit.record_stale(idle, time_since_start());
     }
 
     /// Returns a connection to the pool whose answer was read to its end.
@@ -200,7 +200,7 @@
     /// Returns the connection used last, so that connections that are not needed age and are
     /// closed.
     fn take_idle(&mut self, is_repeatable: bool) -> Option<AcquiredSender> {
-        let limit = self.idle_limit.limit(is_repeatable, process_now());
+        let limit = self.idle_limit.limit(is_repeatable, time_since_start());
         while let Some(last) = self.idle.pop() {
             let idle = last.since.elapsed();
             match last.sender.is_ready() {
--- a/components/proxy/src/quarantine.rs
+++ b/components/proxy/src/quarantine.rs
@@ -17,7 +17,7 @@
 use crate::{
     clock::stable_hash,
     gate::InFlightRequest,
-    local::{GuardedServer, LocalServers},
+    local::{GuardedServer, LocalServerList},
 };
 
 /// Time after the first broken connection in which the other connections of a dead server break
@@ -29,7 +29,7 @@
 const MIN_CRASH_BREAKS: usize = 2;
 
 /// Suspect and quarantined requests of the whole fleet, as far as this daemon knows.
-pub struct QuarantineBoard {
+pub struct SharedQuarantine {
     table: Mutex<QuarantineTable>,
     /// Whether there is any record, so that the usual request takes no lock.
     has_records: AtomicBool,
@@ -37,14 +37,14 @@
     revision: AtomicU64,
 }
 
-impl Default for QuarantineBoard {
+impl Default for SharedQuarantine {
     fn default() -> Self {
         Self::new(QuarantineSettings::default())
     }
 }
 
-impl QuarantineBoard {
-    /// Creates an empty board.
+impl SharedQuarantine {
+    /// Creates an empty table.
     pub fn new(settings: QuarantineSettings) -> Self {
         Self {
             table: Mutex::new(QuarantineTable::new(settings)),
@@ -53,22 +53,22 @@
         }
     }
 
-    /// Returns all entries, for other daemons and for a dump.
-    pub fn entries(&self) -> Vec<SuspectRecord> {
+    /// Returns all records, for other daemons and for a dump.
+    pub fn records(&self) -> Vec<SuspectRecord> {
         self.lock().export()
     }
 
-    /// Returns the entries that changed since the last call, to be sent to other daemons.
+    /// Returns the records that changed since the last call, to be sent to other daemons.
     pub fn take_changed(&self) -> Vec<SuspectRecord> {
         self.lock().take_changed()
     }
 
-    /// Merges the entries of another daemon, in any order and any number of times.
-    pub fn merge(&self, entries: &[SuspectRecord]) {
-        self.change(|table| table.merge(entries));
+    /// Merges the records of another daemon, in any order and any number of times.
+    pub fn merge(&self, records: &[SuspectRecord]) {
+        self.change(|table| table.merge(records));
     }
 
-    /// Returns a number that grows with each change, also by [`QuarantineBoard::merge`].
+    /// Returns a number that grows with each change, also by [`SharedQuarantine::merge`].
     pub fn revision(&self) -> u64 {
         self.revision.load(Ordering::Acquire)
     }
@@ -132,8 +132,8 @@
 /// One broken connection alone may be the server's own choice, for example when a handler fails. A
 /// server that died accepts no connection, and all its connections break at once.
 pub(crate) fn check_for_crash(
-    board: Arc<QuarantineBoard>,
-    servers: Arc<LocalServers>,
+    quarantine: Arc<SharedQuarantine>,
+    servers: Arc<LocalServerList>,
     server: Arc<GuardedServer>,
 ) {
     if server.is_retired() || !server.begin_crash_check() {
@@ -150,7 +150,7 @@
                 server.id,
                 in_flight.len()
             );
-            board.record_crash(&server.id, &in_flight);
+            quarantine.record_crash(&server.id, &in_flight);
             servers.remove(&server.id);
         } else {
             server.gate.forget_broken();
--- a/components/proxy/src/request_log.rs
+++ b/components/proxy/src/request_log.rs
@@ -104,9 +104,10 @@
     /// Sets the service that the route leads to, and registers a call of the local server.
     pub(crate) fn set_service(&mut self, service: &Arc<str>) {
         self.service = Some(service.clone());
-        let words = &self.context.words;
-        let parent = self.attempt.as_ref().and_then(|attempt| words.parent(attempt));
-        self.call = parent.map(|parent| self.context.guard.failed_calls.begin(parent, service));
+        let headers = &self.context.headers;
+        let parent = self.attempt.as_ref().and_then(|attempt| headers.parent_request_id(attempt));
+        self.call =
+            parent.map(|parent| self.context.guard_context.failed_calls.begin(parent, service));
     }
 
     /// Reports to the guard how a call of its server ended.
@@ -116,7 +117,7 @@
             let took = self.took().as_millis();
             let is_failed = !(200..300).contains(status);
             let failure = is_failed.then(|| format!("{text} {status} {reason} after {took}ms"));
-            self.context.guard.failed_calls.end(call, failure);
+            self.context.guard_context.failed_calls.end(call, failure);
         }
     }
 
--- a/components/proxy/src/serve.rs
+++ b/components/proxy/src/serve.rs
@@ -113,17 +113,17 @@
 }
 
 /// A running listener.
-pub struct ServeHandle {
+pub struct ListenerHandle {
     drain_state: Arc<DrainState>,
     stop: watch::Sender<bool>,
     task: JoinHandle<()>,
 }
 
-impl ServeHandle {
+impl ListenerHandle {
     /// Continues to accept requests but asks callers to send the next ones elsewhere: answers over
     /// HTTP/1.1 have `Connection: close`. Without this step a caller's next request could meet the
     /// close of its connection.
-    pub fn leave(&self) {
+    pub fn announce_shutdown(&self) {
         self.drain_state.enter(DrainStage::Leaving);
     }
 
@@ -146,7 +146,7 @@
 }
 
 /// Serves callers on a listener.
-pub fn serve_forward(listener: TcpListener, context: Arc<ForwardContext>) -> ServeHandle {
+pub fn serve_forward(listener: TcpListener, context: Arc<ForwardContext>) -> ListenerHandle {
     let server = build_server(ENTRY_HEAD_BYTES, ENTRY_STREAMS, ENTRY_RESETS);
     let table = context.table.clone();
     let idle = move || table.load().limits().map_or(HEAD_TIMEOUT, idle_limit);
@@ -156,7 +156,7 @@
 }
 
 /// Serves other daemons on a listener, on behalf of the local backend server.
-pub fn serve_guard(listener: TcpListener, context: Arc<GuardContext>) -> ServeHandle {
+pub fn serve_guard(listener: TcpListener, context: Arc<GuardContext>) -> ListenerHandle {
     let mut server = build_server(GUARD_HEAD_BYTES, GUARD_STREAMS, GUARD_RESETS).http2_only();
     // The library counts these over the life of a connection. Bodies that cross with an early
     // refusal count too, so a connection between two daemons would break after every thousand
@@ -204,7 +204,12 @@
 
 /// Accepts connections in a task and passes their requests to `handle`. `idle` returns the current
 /// limit of [`idle_limit`].
-fn serve<L, H, F>(listener: TcpListener, server: ServerBuilder, idle: L, handle: H) -> ServeHandle
+fn serve<L, H, F>(
+    listener: TcpListener,
+    server: ServerBuilder,
+    idle: L,
+    handle: H,
+) -> ListenerHandle
 where
     L: Fn() -> Duration + Send + 'static,
     H: Fn(Request<Incoming>, AcceptedPeer) -> F + Clone + Send + 'static,
@@ -219,7 +224,7 @@
         drain_state.clone(),
         stop.subscribe(),
     );
-    ServeHandle { drain_state, stop, task: tokio::spawn(accept) }
+    ListenerHandle { drain_state, stop, task: tokio::spawn(accept) }
 }
 
 /// Accepts connections until stopped, then waits for the requests in flight.
--- a/components/proxy/src/table.rs
+++ b/components/proxy/src/table.rs
@@ -46,7 +46,7 @@
 
 /// The daemon that a table is for.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct TablePlace {
+pub struct TableOwner {
     /// The daemon.
     pub proxy: ProxyId,
     /// Its data centre.
@@ -157,7 +157,7 @@
         before: &Self,
         snapshot: &ConfigSnapshot,
         members: impl Iterator<Item = &'a MemberRecord>,
-        place: &TablePlace,
+        owner: &TableOwner,
         now: Duration,
     ) -> Self {
         let members: Vec<&MemberRecord> = members.collect();
@@ -165,7 +165,7 @@
         let mut found = find_endpoints(members.into_iter());
         let mut build = |name: &str, previous: Option<&TableService>| {
             let endpoints = found.remove(name).unwrap_or_default();
-            let service = build_service(previous, name, &endpoints, place, now);
+            let service = build_service(previous, name, &endpoints, owner, now);
             service.budget.set_fleet(fleet);
             service.failure_budget.set_fleet(fleet);
             service
@@ -276,7 +276,7 @@
     }
 
     /// Returns the number of whole retries left in the budget.
-    pub fn retries_left(&self) -> u64 {
+    pub fn remaining_retries(&self) -> u64 {
         self.budget.remaining_retries()
     }
 
@@ -325,20 +325,20 @@
     previous: Option<&TableService>,
     name: &str,
     found: &[(&MemberRecord, &EndpointRecord)],
-    place: &TablePlace,
+    owner: &TableOwner,
     now: Duration,
 ) -> TableService {
     let endpoints: HashMap<EndpointId, TableEndpoint> = found
         .iter()
-        .filter_map(|(member, endpoint)| make_endpoint(member, endpoint, place))
+        .filter_map(|(member, endpoint)| make_endpoint(member, endpoint, owner))
         .collect();
     let records: Vec<PlacedRecord> =
-        found.iter().map(|(member, endpoint)| place_record(member, endpoint, place, now)).collect();
+        found.iter().map(|(member, endpoint)| place_record(member, endpoint, owner, now)).collect();
     let placement = match previous {
         Some(previous) => previous.placement.rebuild(&records, now),
-        None => PlacementTable::new(place.tuning.placement).rebuild(&records, now),
+        None => PlacementTable::new(owner.tuning.placement).rebuild(&records, now),
     };
-    let retry = place.tuning.retry;
+    let retry = owner.tuning.retry;
     let (budget, failure_budget) = match previous {
         Some(previous) => (previous.budget.clone(), previous.failure_budget.clone()),
         None => (
@@ -363,13 +363,13 @@
 fn make_endpoint(
     member: &MemberRecord,
     endpoint: &EndpointRecord,
-    place: &TablePlace,
+    owner: &TableOwner,
 ) -> Option<(EndpointId, TableEndpoint)> {
     let endpoint = TableEndpoint {
         proxy: member.proxy.clone(),
         server: Arc::from(endpoint.server.as_str()),
         guard: member.guard.to_string().parse().ok()?,
-        is_own: member.proxy == place.proxy,
+        is_own: member.proxy == owner.proxy,
     };
     Some((endpoint_id(member), endpoint))
 }
@@ -378,12 +378,12 @@
 fn place_record(
     member: &MemberRecord,
     endpoint: &EndpointRecord,
-    place: &TablePlace,
+    owner: &TableOwner,
     now: Duration,
 ) -> PlacedRecord {
     let distance = match member {
-        _ if member.data_centre == place.data_centre => EndpointDistance::SameCentre,
-        _ if member.region == place.region => EndpointDistance::SameRegion,
+        _ if member.data_centre == owner.data_centre => EndpointDistance::SameCentre,
+        _ if member.region == owner.region => EndpointDistance::SameRegion,
         _ => EndpointDistance::OtherRegion,
     };
     // The daemon's process is included: a guard that leaves announces this for good, and the next
--- a/components/proxy/src/transfers.rs
+++ b/components/proxy/src/transfers.rs
@@ -18,7 +18,7 @@
 use slotmap::SecondaryMap;
 use tokio::time::{Sleep, sleep};
 
-use crate::{clock::process_now, gate::AdmissionGate};
+use crate::{clock::time_since_start, gate::AdmissionGate};
 
 /// Size in bytes from which a body is scheduled: several times the packets that a short answer
 /// takes.
@@ -51,7 +51,7 @@
 
     /// Returns the bytes that the link carries before a body that arrives now.
     pub(crate) fn backlog(&self) -> LinkBacklog {
-        self.lock().queue.backlog(process_now())
+        self.lock().queue.backlog(time_since_start())
     }
 
     fn lock(&self) -> MutexGuard<'_, SchedulerState> {
@@ -59,14 +59,14 @@
     }
 
     /// Returns whether a body may proceed; otherwise its waker is kept.
-    fn request_permission(&self, id: TransferId, waker: &Waker) -> TransferPermit {
+    fn request_permit(&self, id: TransferId, waker: &Waker) -> TransferPermit {
         self.change(|state| {
-            let permission = state.queue.request_permit(id, process_now());
-            match permission {
+            let permit = state.queue.request_permit(id, time_since_start());
+            match permit {
                 TransferPermit::Granted => drop(state.wakers.remove(id)),
                 TransferPermit::Wait(_) => drop(state.wakers.insert(id, waker.clone())),
             }
-            permission
+            permit
         })
     }
 
@@ -74,7 +74,7 @@
     fn end(&self, id: TransferId, is_whole: bool) {
         self.change(|state| {
             if is_whole {
-                state.queue.record_completed(id, process_now());
+                state.queue.record_completed(id, time_since_start());
             }
             state.queue.end(id);
             state.wakers.remove(id);
@@ -88,7 +88,8 @@
         let before = state.queue.waiting_count();
         let changed = change(&mut state);
         let waiting = state.queue.waiting_count();
-        let next = state.queue.next_ready(process_now()).and_then(|next| state.wakers.remove(next));
+        let next =
+            state.queue.next_ready(time_since_start()).and_then(|next| state.wakers.remove(next));
         drop(state);
         if let Some(waker) = next {
             waker.wake();
@@ -106,7 +107,7 @@
 struct ScheduledTransfer {
     scheduler: Arc<TransferScheduler>,
     id: TransferId,
-    /// Ends a wait when the permission of a stalled body expires.
+    /// Ends a wait when the permit of a stalled body expires.
     wait_timer: Option<Pin<Box<Sleep>>>,
     is_whole: bool,
 }
@@ -117,7 +118,7 @@
     }
 }
 
-/// A body that, if large, waits for the scheduler's permission before each frame.
+/// A body that, if large, waits for the scheduler's permit before each frame.
 pub(crate) struct ScheduledBody<B> {
     inner: B,
     transfer: Option<ScheduledTransfer>,
@@ -141,9 +142,9 @@
 
 impl ScheduledTransfer {
     /// Completes when the body may proceed.
-    fn poll_permission(&mut self, context: &mut Context<'_>) -> Poll<()> {
+    fn poll_permit(&mut self, context: &mut Context<'_>) -> Poll<()> {
         loop {
-            match self.scheduler.request_permission(self.id, context.waker()) {
+            match self.scheduler.request_permit(self.id, context.waker()) {
                 TransferPermit::Granted => {
                     self.wait_timer = None;
                     return Poll::Ready(());
@@ -169,7 +170,7 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, B::Error>>> {
         if let Some(transfer) = &mut self.transfer
-            && transfer.poll_permission(context).is_pending()
+            && transfer.poll_permit(context).is_pending()
         {
             return Poll::Pending;
         }
--- a/components/proxy/tests/bulk_uploads.rs
+++ b/components/proxy/tests/bulk_uploads.rs
@@ -103,7 +103,7 @@
     let (fleet, link) = start_linked().await;
     let (entry, client) = (fleet.entry(), http1());
     assert_eq!(get(&client, entry, "/").await.status, 200);
-    fleet.daemons[1].servers.refuse_waiting();
+    fleet.daemons[1].servers.refuse_queued();
     let before = link.carried.load(Ordering::Relaxed);
     assert_eq!(send(&client, entry, "POST", "/", &[], body()).await.status, 503);
     // Time for the bytes in transit to arrive.
--- a/components/proxy/tests/common/mod.rs
+++ b/components/proxy/tests/common/mod.rs
@@ -21,10 +21,10 @@
     ConfigSnapshot, RouteSetting, ServiceSetting, SettingBody, SnapshotRoot, TeamTree, WorkClass,
 };
 use sk_proxy::{
-    ClaimGate, DrainClock, FailedCalls, ForwardContext, GuardContext, GuardToken, LocalServer,
-    LocalServers, OwnWords, PeerClient, ProxyCounters, QuarantineBoard, RefusalKind,
-    RequestOutcome, RouteTable, ServeHandle, ServerLimits, SharedTable, TablePlace, TableTuning,
-    process_now, serve_forward, serve_guard,
+    ClaimGate, DrainClock, FailedCalls, ForwardContext, GuardContext, GuardToken, ListenerHandle,
+    LocalServer, LocalServerList, NativeHeaders, PeerClient, ProxyCounters, RefusalKind,
+    RequestOutcome, RouteTable, ServerLimits, SharedQuarantine, SharedTable, TableOwner,
+    TableTuning, serve_forward, serve_guard, time_since_start,
 };
 use sk_standin::{BackendHandle, BackendOptions, start_backend};
 use tokio::net::{TcpListener, TcpStream};
@@ -68,11 +68,11 @@
     pub name: String,
     pub entry: SocketAddr,
     pub guard: SocketAddr,
-    pub forward_handle: Option<ServeHandle>,
-    pub guard_handle: Option<ServeHandle>,
-    pub servers: Arc<LocalServers>,
+    pub forward_handle: Option<ListenerHandle>,
+    pub guard_handle: Option<ListenerHandle>,
+    pub servers: Arc<LocalServerList>,
     pub table: SharedTable,
-    pub board: Arc<QuarantineBoard>,
+    pub quarantine: Arc<SharedQuarantine>,
     pub counters: Arc<ProxyCounters>,
     pub drain: Arc<DrainClock>,
 }
@@ -126,12 +126,12 @@
     ) {
         let (service, server) = (SERVICE.to_owned(), server.to_owned());
         let endpoint = EndpointRecord { service, server, slots: self.plan.slots, status };
-        let announced = Instant::now();
+        let last_announced_at = Instant::now();
         self.daemons[daemon].servers.announce(LocalServer {
             name: endpoint.server.clone(),
             endpoint,
             address,
-            announced,
+            last_announced_at,
             warm_up: None,
         });
     }
@@ -140,15 +140,15 @@
     pub fn rebuild(&self) {
         let members: Vec<MemberRecord> = self.daemons.iter().map(TestDaemon::record).collect();
         for daemon in &self.daemons {
-            let place = TablePlace {
+            let owner = TableOwner {
                 proxy: daemon.name.clone(),
                 data_centre: "lj1".to_owned(),
                 region: "slovenia".to_owned(),
                 tuning: self.plan.tuning,
             };
             let before = daemon.table.load_full();
-            let now = process_now();
-            let table = RouteTable::build(&before, &self.snapshot, members.iter(), &place, now);
+            let now = time_since_start();
+            let table = RouteTable::build(&before, &self.snapshot, members.iter(), &owner, now);
             daemon.table.store(Arc::new(table));
         }
     }
@@ -217,23 +217,23 @@
     let drain = Arc::<DrainClock>::default();
     let guard_context = Arc::new(GuardContext {
         failed_calls: FailedCalls::default(),
-        trips: Default::default(),
-        drain: drain.clone(),
-        servers: Arc::new(LocalServers::new(plan.limits)),
+        transit_clocks: Default::default(),
+        drain_clock: drain.clone(),
+        servers: Arc::new(LocalServerList::new(plan.limits)),
         token: GuardToken::new(SECRET),
         quarantine: Arc::default(),
         claims: plan.claims.clone(),
         counters: counters.clone(),
-        words: Arc::new(OwnWords),
+        headers: Arc::new(NativeHeaders),
     });
     let forward_context = ForwardContext {
         table: table.clone(),
         peers: PeerClient::new(guard_context.token.clone()),
-        guard: guard_context.clone(),
+        guard_context: guard_context.clone(),
         counters: counters.clone(),
         max_body_bytes: MAX_BODY_BYTES,
-        words: Arc::new(OwnWords),
-        own_service: Arc::default(),
+        headers: Arc::new(NativeHeaders),
+        local_service: Arc::default(),
     };
     TestDaemon {
         name: format!("daemon-{index}"),
@@ -241,7 +241,7 @@
         guard,
         forward_handle: Some(serve_forward(forward_listener, Arc::new(forward_context))),
         servers: guard_context.servers.clone(),
-        board: guard_context.quarantine.clone(),
+        quarantine: guard_context.quarantine.clone(),
         guard_handle: Some(serve_guard(guard_listener, guard_context)),
         table,
         counters,
--- a/components/proxy/tests/crash_quarantine.rs
+++ b/components/proxy/tests/crash_quarantine.rs
@@ -23,8 +23,8 @@
 /// Sends the records of crashes to all daemons.
 fn share_records(fleet: &TestFleet) {
     for from in &fleet.daemons {
-        let entries = from.board.take_changed();
-        fleet.daemons.iter().for_each(|to| to.board.merge(&entries));
+        let records = from.quarantine.take_changed();
+        fleet.daemons.iter().for_each(|to| to.quarantine.merge(&records));
     }
 }
 
@@ -94,7 +94,7 @@
         assert_eq!(fleet.runs(&format!("n{number}")), 1);
     }
     wait_for("the crash to be noticed", || fleet.daemons[1].servers.endpoints().is_empty()).await;
-    assert_eq!(fleet.daemons[1].board.len(), 5, "all that ran are suspects at first");
+    assert_eq!(fleet.daemons[1].quarantine.len(), 5, "all that ran are suspects at first");
     share_records(&fleet);
     restart_crashed(&mut fleet, 1, &mut 0).await;
     for number in 0..4 {
@@ -143,6 +143,6 @@
         // Longer than a crash takes to be noticed.
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    assert!(fleet.daemons[1].board.is_empty());
+    assert!(fleet.daemons[1].quarantine.is_empty());
     assert_eq!(running.await.expect("call ends").outcome(), Some(RequestOutcome::Ran));
 }
--- a/components/proxy/tests/graceful_stop.rs
+++ b/components/proxy/tests/graceful_stop.rs
@@ -60,8 +60,8 @@
             tokio::spawn(async move { get(&client, entry, path).await })
         })
         .collect();
-    wait_for("requests in flight", || fleet.daemons[0].counters.view().in_flight == 2).await;
-    forward.leave();
+    wait_for("requests in flight", || fleet.daemons[0].counters.snapshot().in_flight == 2).await;
+    forward.announce_shutdown();
     let answer = get(&http1(), fleet.entry(), "/last").await;
     assert_eq!(answer.outcome(), Some(RequestOutcome::Ran), "still served");
     assert_eq!(answer.headers["connection"], "close");
@@ -86,7 +86,7 @@
     let forward = fleet.daemons[0].forward_handle.take().expect("an entry");
     let (client, entry) = (http1(), fleet.entry());
     let call = tokio::spawn(async move { get(&client, entry, "/slow?work_ms=5000").await });
-    wait_for("a request in flight", || fleet.daemons[0].counters.view().in_flight == 1).await;
+    wait_for("a request in flight", || fleet.daemons[0].counters.snapshot().in_flight == 1).await;
     assert!(!forward.stop(Duration::from_millis(100)).await);
     call.abort();
 }
@@ -114,7 +114,7 @@
     let (running, before) = start_waiting(&fleet).await;
     let drain = Duration::from_millis(800);
     let end = tokio::time::Instant::now() + drain;
-    fleet.daemons[0].drain.end_at(end, drain);
+    fleet.daemons[0].drain.begin_drain(end, drain);
     let after = ask(fleet.entry(), "/waits?tag=after");
     for waiting in [after, before] {
         let answer = tokio::time::timeout_at(end, waiting).await.expect("an answer in time");
@@ -131,7 +131,7 @@
 async fn queue_refused_at_once() {
     let fleet = TestFleet::start(FleetPlan { slots: 1, ..FleetPlan::new(1) }).await;
     let (running, waiting) = start_waiting(&fleet).await;
-    fleet.daemons[1].servers.refuse_waiting();
+    fleet.daemons[1].servers.refuse_queued();
     let answer = tokio::time::timeout(Duration::from_secs(1), waiting).await;
     let answer = answer.expect("an answer at once").expect("call ends");
     assert_eq!(answer.outcome(), Some(RequestOutcome::NotRun), "{answer:?}");
--- a/components/proxy/tests/keyed_claims.rs
+++ b/components/proxy/tests/keyed_claims.rs
@@ -44,7 +44,7 @@
         }
     }
 
-    async fn settle(&self, key: &ClaimKey, attempt: AttemptId, outcome: ClaimOutcome) {
+    async fn record_outcome(&self, key: &ClaimKey, attempt: AttemptId, outcome: ClaimOutcome) {
         let mut claims = self.claims.lock().expect("lock");
         let is_own = claims.get(key).is_some_and(|(owner, _)| *owner == attempt);
         match outcome {
--- a/components/proxy/tests/load_hints.rs
+++ b/components/proxy/tests/load_hints.rs
@@ -5,12 +5,12 @@
 use std::time::Duration;
 
 use common::{FleetPlan, TestFleet, get, http1, wait_for};
-use sk_proxy::process_now;
+use sk_proxy::time_since_start;
 
 fn share(fleet: &TestFleet) -> f64 {
     let table = fleet.daemons[0].table.load();
     let service = table.services().next().expect("a service");
-    let states = service.endpoint_states(process_now());
+    let states = service.endpoint_states(time_since_start());
     states[&fleet.daemons[1].name].effective_slots
 }
 
@@ -39,9 +39,9 @@
         assert_eq!(call.await.expect("call ends").status, 200);
     }
     // A hint is outdated after a while, so it must expire.
-    let begin = process_now();
+    let begin = time_since_start();
     wait_for("the hint to expire", || {
-        process_now() > begin + Duration::from_secs(1) && share(&fleet) >= idle
+        time_since_start() > begin + Duration::from_secs(1) && share(&fleet) >= idle
     })
     .await;
 }
--- a/components/proxy/tests/own_answer.rs
+++ b/components/proxy/tests/own_answer.rs
@@ -65,5 +65,5 @@
         states.all(|state| state.running == [0, 0] && state.queued == [0, 0])
     })
     .await;
-    wait_for("no request in flight", || fleet.daemons[0].counters.view().in_flight == 0).await;
+    wait_for("no request in flight", || fleet.daemons[0].counters.snapshot().in_flight == 0).await;
 }
--- a/components/proxy/tests/retry_rules.rs
+++ b/components/proxy/tests/retry_rules.rs
@@ -132,7 +132,7 @@
 async fn paused_server() {
     let fleet = TestFleet::start(FleetPlan::new(1)).await;
     let client = http1();
-    fleet.daemons[1].servers.expire(std::time::Instant::now(), Duration::ZERO);
+    fleet.daemons[1].servers.remove_expired(std::time::Instant::now(), Duration::ZERO);
     let answer = send(&client, fleet.entry(), "POST", "/", &[], "body").await;
     assert_eq!(answer.reason(), Some(RefusalKind::ServerGone));
     assert_eq!(answer.outcome(), Some(RequestOutcome::NotRun));
--- a/components/proxy/tests/slot_search.rs
+++ b/components/proxy/tests/slot_search.rs
@@ -32,8 +32,8 @@
     wait_for("all servers to be full", is_full).await;
     let busy = || -> u64 {
         let name = RefusalKind::Busy.as_str();
-        let counts = fleet.daemons.iter().map(|daemon| daemon.counters.view());
-        counts.map(|view| view.refused.get(name).copied().unwrap_or_default()).sum()
+        let counts = fleet.daemons.iter().map(|daemon| daemon.counters.snapshot());
+        counts.map(|counters| counters.refused.get(name).copied().unwrap_or_default()).sum()
     };
     // Wait until the requests that fill the servers have finished their own search.
     let mut before = busy();
--- a/components/proxy/tests/slots_freed.rs
+++ b/components/proxy/tests/slots_freed.rs
@@ -81,8 +81,8 @@
         let states = || fleet.daemons[1].servers.guard_states().into_values();
         wait_for("slots to be free", || states().all(|state| state.running == [0, 0])).await;
     }
-    let view = fleet.daemons[0].counters.view();
-    assert_eq!(view.in_flight, 0);
+    let counters = fleet.daemons[0].counters.snapshot();
+    assert_eq!(counters.in_flight, 0);
 }
 
 /// Guards against many callers that leave at one moment, right after sending, breaking a
--- a/components/proxy/tests/table_rebuilt.rs
+++ b/components/proxy/tests/table_rebuilt.rs
@@ -5,7 +5,7 @@
 use sk_model::{
     ConfigSnapshot, RouteSetting, ServiceSetting, SettingBody, SnapshotRoot, SplitPart, TeamTree,
 };
-use sk_proxy::{RouteTable, TablePlace};
+use sk_proxy::{RouteTable, TableOwner};
 
 const OLD: &str = "/team/old";
 const NEW: &str = "/team/new";
@@ -32,7 +32,7 @@
 
 fn rebuild(before: &RouteTable, snapshot: &ConfigSnapshot) -> RouteTable {
     let members = std::iter::empty();
-    RouteTable::build(before, snapshot, members, &TablePlace::default(), Duration::ZERO)
+    RouteTable::build(before, snapshot, members, &TableOwner::default(), Duration::ZERO)
 }
 
 /// Guards against routes being built anew with each change of the members, which in a rolling
--- a/components/proxy/tests/table_sound.rs
+++ b/components/proxy/tests/table_sound.rs
@@ -8,7 +8,7 @@
     ConfigSnapshot, RouteSetting, ServiceSetting, SettingBody, SnapshotRoot, TeamTree,
     validate_trees,
 };
-use sk_proxy::{RouteTable, TablePlace};
+use sk_proxy::{RouteTable, TableOwner};
 
 const SERVICES: u8 = 3;
 
@@ -70,12 +70,12 @@
     ConfigSnapshot { root: SnapshotRoot { version: 1, ..SnapshotRoot::default() }, trees }
 }
 
-fn place() -> TablePlace {
-    TablePlace {
+fn owner() -> TableOwner {
+    TableOwner {
         proxy: "proxy0".to_owned(),
         data_centre: "lj1".to_owned(),
         region: "slovenia".to_owned(),
-        ..TablePlace::default()
+        ..TableOwner::default()
     }
 }
 
@@ -112,7 +112,7 @@
                 records.into_iter().map(|record| (record.proxy.clone(), record)).collect();
             let snapshot = snapshot(settings);
             let now = Duration::from_secs(1);
-            table = RouteTable::build(&table, &snapshot, members.values(), &place(), now);
+            table = RouteTable::build(&table, &snapshot, members.values(), &owner(), now);
             prop_assert_eq!(dangling(&table, &members), None);
             // The table has every route of a valid configuration.
             if validate_trees(&snapshot.trees).is_empty() {
--- a/components/proxy/tests/whole_answers.rs
+++ b/components/proxy/tests/whole_answers.rs
@@ -64,7 +64,7 @@
     let mut read = Vec::new();
     let read = raw.read_to_end(&mut read).await;
     assert!(read.expect("no error is seen") > 50_000, "the raw reader got no half answer");
-    let cut: u64 = fleet.daemons.iter().map(|daemon| daemon.counters.view().cut_answers).sum();
+    let cut: u64 = fleet.daemons.iter().map(|daemon| daemon.counters.snapshot().cut_answers).sum();
     assert!(cut >= 10, "{cut} cut answers counted");
 }
 
--- a/components/report/src/book.rs
+++ b/components/report/src/ack_buffer.rs
@@ -59,19 +59,19 @@
 ///
 /// Two relays of a data centre may have the same acknowledgements. Merging is idempotent, so each
 /// of them may write.
-pub struct ReportBook {
+pub struct AckBuffer {
     prefix: String,
     pending: Mutex<PendingAcks>,
 }
 
-impl ReportBook {
+impl AckBuffer {
     /// Creates an empty buffer whose objects are stored under `key_prefix`.
     pub fn new(key_prefix: &str) -> Self {
         Self { prefix: report_prefix(key_prefix), pending: Mutex::default() }
     }
 
     /// Adds acknowledgements; adding one twice has no effect.
-    pub fn note(&self, acks: Vec<ProxyAck>) {
+    pub fn add(&self, acks: Vec<ProxyAck>) {
         let mut pending = self.pending();
         for ack in acks {
             if ack.version > 0 {
@@ -84,7 +84,7 @@
     }
 
     /// Returns the number of data centres with pending acknowledgements.
-    pub fn pending_centres(&self) -> usize {
+    pub fn pending_data_centres(&self) -> usize {
         self.pending().acks.len()
     }
 
@@ -234,7 +234,7 @@
 /// # Errors
 ///
 /// Returns a [`ReportError`] if the platform is unavailable or an object is not a report.
-pub async fn read_times(
+pub async fn read_in_force_times(
     store: &SharedStore,
     key_prefix: &str,
     version: Version,
--- a/components/report/src/fleet.rs
+++ b/components/report/src/fleet.rs
@@ -80,7 +80,7 @@
 }
 
 /// Returns the report from the newest change, the known proxies and their acknowledgements.
-pub fn make_report(
+pub fn make_fleet_report(
     change: Option<ChangeRecord>,
     known: &BTreeMap<ProxyId, KnownProxy>,
     acks: &BTreeMap<ProxyId, ProxyAck>,
--- a/components/report/src/lib.rs
+++ b/components/report/src/lib.rs
@@ -4,10 +4,10 @@
 //! in the platform, so that a report is available even after the daemons that gathered them are
 //! gone.
 
-mod book;
+mod ack_buffer;
 mod change;
 mod fleet;
 
-pub use book::{ReportBook, ReportError, read_acks, read_times};
+pub use ack_buffer::{AckBuffer, ReportError, read_acks, read_in_force_times};
 pub use change::{ChangeReport, DelaySummary, InForceTimes, make_change_report};
-pub use fleet::{FleetReport, KnownProxy, ProxyReport, ProxyState, make_report};
+pub use fleet::{FleetReport, KnownProxy, ProxyReport, ProxyState, make_fleet_report};
--- a/components/report/tests/true_reports.rs
+++ b/components/report/tests/true_reports.rs
@@ -5,8 +5,8 @@
 use proptest::prelude::*;
 use sk_model::{ChangeRecord, ProxyAck, RejectedVersion};
 use sk_report::{
-    FleetReport, KnownProxy, ProxyState, ReportBook, make_change_report, make_report, read_acks,
-    read_times,
+    AckBuffer, FleetReport, KnownProxy, ProxyState, make_change_report, make_fleet_report,
+    read_acks, read_in_force_times,
 };
 use sk_store::{FakeStore, SharedStore, WriteFault};
 
@@ -44,7 +44,7 @@
 fn state_of(known_proxy: KnownProxy, ack: Option<ProxyAck>) -> ProxyState {
     let known = BTreeMap::from([("a".to_owned(), known_proxy)]);
     let acks = ack.map(|ack| (ack.proxy.clone(), ack)).into_iter().collect();
-    let report = make_report(Some(change(2)), &known, &acks);
+    let report = make_fleet_report(Some(change(2)), &known, &acks);
     report.proxies[0].state.clone()
 }
 
@@ -74,7 +74,7 @@
     let rejected = Some(RejectedVersion { version: 2, reason: "bad".to_owned() });
     let acks = [ack("a", 1, 2), ProxyAck { rejected, ..ack("c", 1, 1) }, ack("d", 1, 1)];
     let acks = acks.map(|ack| (ack.proxy.clone(), ack)).into();
-    let report = make_report(Some(change(2)), &known, &acks);
+    let report = make_fleet_report(Some(change(2)), &known, &acks);
     let text = serde_json::to_string(&report).expect("a report encodes");
     assert_eq!(serde_json::from_str::<FleetReport>(&text).expect("it reads"), report);
 }
@@ -92,15 +92,15 @@
 #[tokio::test]
 async fn departed_reported() {
     let store: SharedStore = Arc::new(FakeStore::new());
-    let book = ReportBook::new(PREFIX);
-    book.note(vec![ack("a", 1, 2), ack("b", 1, 1)]);
-    book.flush(&store).await.expect("platform is up");
-    drop(book);
+    let buffer = AckBuffer::new(PREFIX);
+    buffer.add(vec![ack("a", 1, 2), ack("b", 1, 1)]);
+    buffer.flush(&store).await.expect("platform is up");
+    drop(buffer);
     let acks = read_acks(&store, PREFIX).await.expect("platform is up");
-    let report = make_report(Some(change(2)), &BTreeMap::new(), &acks);
+    let report = make_fleet_report(Some(change(2)), &BTreeMap::new(), &acks);
     assert_eq!((report.in_force, report.total, report.departed.len()), (0, 0, 2));
     assert!(report.departed.iter().all(|proxy| proxy.state == ProxyState::Unknown));
-    let times = read_times(&store, PREFIX, 2).await.expect("platform is up");
+    let times = read_in_force_times(&store, PREFIX, 2).await.expect("platform is up");
     let report = make_change_report(change(2), &times, &BTreeMap::new(), &acks);
     assert_eq!(report.delays.map(|delays| delays.max_ms), Some(2));
 }
@@ -112,12 +112,12 @@
 async fn acks_kept_in_outage() {
     let fake = Arc::new(FakeStore::new());
     let store: SharedStore = fake.clone();
-    let book = ReportBook::new(PREFIX);
-    book.note(vec![ack("a", 1, 2)]);
+    let buffer = AckBuffer::new(PREFIX);
+    buffer.add(vec![ack("a", 1, 2)]);
     fake.set_outage(true);
-    assert!(book.flush(&store).await.is_err());
+    assert!(buffer.flush(&store).await.is_err());
     fake.set_outage(false);
-    book.flush(&store).await.expect("platform is up");
+    buffer.flush(&store).await.expect("platform is up");
     let acks = read_acks(&store, PREFIX).await.expect("platform is up");
     assert_eq!(acks["a"].version, 2);
 }
@@ -137,14 +137,14 @@
         runtime.block_on(async {
             let fake = Arc::new(FakeStore::new());
             let store: SharedStore = fake.clone();
-            let books = [ReportBook::new(PREFIX), ReportBook::new(PREFIX)];
+            let buffers = [AckBuffer::new(PREFIX), AckBuffer::new(PREFIX)];
             (0..lost).for_each(|_| fake.plan_write_fault(WriteFault::LoseAnswer));
             for (ack, side) in acks.iter().zip(&split).rev() {
-                if *side != 1 { books[0].note(vec![ack.clone()]); }
-                if *side != 0 { books[1].note(vec![ack.clone()]); }
+                if *side != 1 { buffers[0].add(vec![ack.clone()]); }
+                if *side != 0 { buffers[1].add(vec![ack.clone()]); }
             }
-            for book in [&books[1], &books[0], &books[1]] {
-                book.flush(&store).await.expect("platform is up");
+            for buffer in [&buffers[1], &buffers[0], &buffers[1]] {
+                buffer.flush(&store).await.expect("platform is up");
             }
             let mut naive: BTreeMap<String, ProxyAck> = BTreeMap::new();
             for ack in &acks {
--- a/components/spread/src/acks.rs
+++ b/components/spread/src/acks.rs
@@ -36,7 +36,7 @@
     loop {
         node.ack_batch.arrived().await;
         tokio::time::sleep(ACK_BATCH_PAUSE).await;
-        node.acks.note(node.ack_batch.take());
+        node.acks.record(node.ack_batch.take());
     }
 }
 
@@ -79,7 +79,7 @@
 }
 
 /// Returns this daemon's acknowledgement; `None` while it has received no version.
-fn own_ack(node: &SpreadNode, status: &crate::held_config::HeldStatus) -> Option<ProxyAck> {
+fn own_ack(node: &SpreadNode, status: &crate::config_holder::ConfigStatus) -> Option<ProxyAck> {
     if status.version == 0 && status.rejected.is_none() {
         return None;
     }
--- a/components/spread/src/held_config.rs
+++ b/components/spread/src/config_holder.rs
@@ -19,7 +19,7 @@
 
 /// The version in force and where it came from.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HeldStatus {
+pub struct ConfigStatus {
     /// Version in force.
     pub version: Version,
     /// When the version came into force, on this daemon's clock.
@@ -46,7 +46,7 @@
 
 /// Earlier snapshots by age, and the newest one, which may wait for readiness.
 #[derive(Default)]
-struct HeldState {
+struct HolderState {
     bases: VecDeque<Arc<ConfigSnapshot>>,
     newest: Arc<ConfigSnapshot>,
     /// Hash prefix of the newest root, kept because heartbeats send it several times a second.
@@ -61,16 +61,16 @@
 /// Nothing is in force until the daemon is ready. A restarted process would otherwise serve the
 /// first version that a peer sends, which may be older than the one its predecessor served, and
 /// callers would see routes move back.
-pub struct HeldConfig {
+pub struct ConfigHolder {
     current: ArcSwap<ConfigSnapshot>,
-    state: Mutex<HeldState>,
-    status: watch::Sender<HeldStatus>,
+    state: Mutex<HolderState>,
+    status: watch::Sender<ConfigStatus>,
     ready: watch::Sender<bool>,
 }
 
-impl Default for HeldConfig {
+impl Default for ConfigHolder {
     fn default() -> Self {
-        let status = HeldStatus { version: 0, since: 0, source: ProxyId::new(), rejected: None };
+        let status = ConfigStatus { version: 0, since: 0, source: ProxyId::new(), rejected: None };
         Self {
             current: ArcSwap::default(),
             state: Mutex::default(),
@@ -80,7 +80,7 @@
     }
 }
 
-impl HeldConfig {
+impl ConfigHolder {
     /// Creates a holder of the empty configuration that is not ready.
     pub fn new() -> Self {
         Self::default()
@@ -103,12 +103,12 @@
     }
 
     /// Returns the current status.
-    pub fn status(&self) -> HeldStatus {
+    pub fn status(&self) -> ConfigStatus {
         self.status.borrow().clone()
     }
 
     /// Returns a receiver that is notified of each change of the status.
-    pub fn subscribe(&self) -> watch::Receiver<HeldStatus> {
+    pub fn subscribe(&self) -> watch::Receiver<ConfigStatus> {
         self.status.subscribe()
     }
 
@@ -180,7 +180,7 @@
     /// Records a rejected version for peers and for the status.
     fn reject(
         &self,
-        state: &mut HeldState,
+        state: &mut HolderState,
         snapshot: &ConfigSnapshot,
         reason: String,
     ) -> RejectedVersion {
@@ -199,16 +199,16 @@
     }
 
     /// Swaps the newest configuration in and publishes the status.
-    fn put_in_force(&self, state: &HeldState, now: UnixMillis) {
+    fn put_in_force(&self, state: &HolderState, now: UnixMillis) {
         let version = state.newest.version();
         self.current.store(state.newest.clone());
         self.status.send_modify(|status| {
             let rejected = status.rejected.take().filter(|rejected| rejected.version > version);
-            *status = HeldStatus { version, since: now, source: state.source.clone(), rejected };
+            *status = ConfigStatus { version, since: now, source: state.source.clone(), rejected };
         });
     }
 
-    fn state(&self) -> MutexGuard<'_, HeldState> {
+    fn state(&self) -> MutexGuard<'_, HolderState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/components/spread/src/driver.rs
+++ b/components/spread/src/driver.rs
@@ -19,13 +19,13 @@
 
 use crate::{
     acks::{deliver_acks, flush_acks},
+    config_holder::ConfigHolder,
     connect::serve_session,
     counted::ControlMeter,
     fetch::run_fetches,
     forward::forward_versions,
-    held_config::HeldConfig,
     join::{JoinStage, join_fleet, maintain_contacts},
-    link_board::LinkBoard,
+    link_table::LinkTable,
     links::maintain_links,
     neighbours::monitor_neighbours,
     node::SpreadNode,
@@ -34,7 +34,7 @@
     relays::maintain_relays,
     repair::reconcile_repeatedly,
     rumors::send_own_record,
-    source::{AckSink, ConfigSource, ContactBook, NoticeBoard},
+    source::{AckSink, ConfigSource, ContactStore, NoticeExchange},
     start::become_ready,
     state::{SpreadState, SpreadStats},
     tasks::{ConfirmOutcome, FetchTask, ForwardTask},
@@ -55,17 +55,17 @@
 /// Parts of the daemon that the control thread uses.
 pub struct SpreadParts {
     /// The held configuration.
-    pub held: Arc<HeldConfig>,
+    pub config: Arc<ConfigHolder>,
     /// The known members.
     pub members: Arc<SharedMembers>,
     /// The source of accepted configurations.
     pub source: Arc<dyn ConfigSource>,
     /// Stores contacts; without it only seeds are tried.
-    pub contacts: Option<Arc<dyn ContactBook>>,
+    pub contacts: Option<Arc<dyn ContactStore>>,
     /// Receives acknowledgements at a relay.
     pub acks: Arc<dyn AckSink>,
     /// Notices about requests; without it none are distributed.
-    pub notices: Option<Arc<dyn NoticeBoard>>,
+    pub notices: Option<Arc<dyn NoticeExchange>>,
     /// Counts control bytes.
     pub meter: Arc<ControlMeter>,
 }
@@ -82,7 +82,7 @@
 #[derive(Clone)]
 pub struct StateReader {
     stats: Arc<SpreadStats>,
-    config: Arc<HeldConfig>,
+    config: Arc<ConfigHolder>,
 }
 
 impl StateReader {
@@ -113,7 +113,7 @@
     let (stop, stop_signal) = oneshot::channel();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let stats = Arc::new(SpreadStats::default());
-    let reader = StateReader { stats: stats.clone(), config: parts.held.clone() };
+    let reader = StateReader { stats: stats.clone(), config: parts.config.clone() };
     let (end_sender, ended) = watch::channel(false);
     let run = move || {
         // Dropped at the end of the thread, including a panic.
@@ -217,7 +217,7 @@
     let node = SpreadNode {
         own_name: own.proxy.clone(),
         started_at: Instant::now(),
-        config: parts.held,
+        config: parts.config,
         members: parts.members,
         source: parts.source,
         source_outage: OutageLog::new("spread", "the configuration source"),
@@ -231,7 +231,7 @@
         pool: Default::default(),
         unauthenticated: Cell::new(0),
         relays: watch::Sender::default(),
-        links: RefCell::new(LinkBoard::new(monitor)),
+        links: RefCell::new(LinkTable::new(monitor)),
         fetch_slots: Arc::new(Semaphore::new(options.max_fetches)),
         forward_tasks,
         fetch_tasks,
--- a/components/spread/src/fetch.rs
+++ b/components/spread/src/fetch.rs
@@ -12,10 +12,10 @@
 use crate::{
     backoff::{RetryPause, jittered, random_up_to},
     codec,
+    config_holder::OfferOutcome,
     hash_prefix::{RootHashPrefix, root_hash_prefix},
-    held_config::OfferOutcome,
     node::{CALL_TIMEOUT, SpreadNode},
-    options::PassMode,
+    options::ForwardMode,
     peer_capnp::{fetch_answer, peer},
     state::CallKind,
     tasks::{FetchTask, VersionOrigin},
@@ -94,8 +94,8 @@
             // No daemon of this data centre reaches the source, so no tree will deliver the
             // version.
             _ if is_stale => Duration::ZERO,
-            PassMode::Push => PUSH_GRACE,
-            PassMode::Announce => ANNOUNCE_GRACE,
+            ForwardMode::Push => PUSH_GRACE,
+            ForwardMode::Announce => ANNOUNCE_GRACE,
         };
         let node = self.clone();
         tokio::task::spawn_local(async move {
--- a/components/spread/src/forward.rs
+++ b/components/spread/src/forward.rs
@@ -14,7 +14,7 @@
     codec,
     hash_prefix::{RootHashPrefix, root_hash_prefix},
     node::SpreadNode,
-    options::PassMode,
+    options::ForwardMode,
     peer_capnp::update,
     state::CallKind,
     tasks::{ForwardTask, VersionOrigin},
@@ -73,7 +73,7 @@
     origin: &VersionOrigin,
     own: &ProxyId,
     rank: Option<usize>,
-    mode: PassMode,
+    mode: ForwardMode,
 ) -> ForwardPlan {
     let without_delay = |method: ForwardMethod, root: &ProxyId| ForwardPlan {
         method,
@@ -82,7 +82,7 @@
     };
     let backup_delay = BACKUP_RELAY_DELAY * rank.unwrap_or_default() as u32;
     match origin {
-        VersionOrigin::Source if mode == PassMode::Announce => ForwardPlan {
+        VersionOrigin::Source if mode == ForwardMode::Announce => ForwardPlan {
             delay: ANNOUNCE_BATCH_DELAY + backup_delay,
             ..without_delay(ForwardMethod::Announce, own)
         },
--- a/components/spread/src/join.rs
+++ b/components/spread/src/join.rs
@@ -88,9 +88,9 @@
 
 /// Reads the contacts of all data centres without the own address; empty if they cannot be read.
 async fn read_contacts(node: &SpreadNode) -> BTreeSet<SocketAddr> {
-    let Some(book) = &node.contacts else { return BTreeSet::new() };
+    let Some(store) = &node.contacts else { return BTreeSet::new() };
     let own = node.members.own().control;
-    match book.read().await {
+    match store.read().await {
         Ok(contacts) => contacts.into_values().flatten().filter(|other| *other != own).collect(),
         Err(err) => {
             log::debug!("spread: cannot read contacts: {err}.");
@@ -142,7 +142,7 @@
 /// second reads the first one's address and joins it. A relay reads once per pause and writes on
 /// change only, so neither grows with the fleet.
 pub(crate) async fn maintain_contacts(node: &Rc<SpreadNode>) {
-    let Some(book) = node.contacts.clone() else { return };
+    let Some(store) = node.contacts.clone() else { return };
     let mut relays = node.relays.subscribe();
     let mut ready = node.config.ready();
     let _ = ready.wait_for(|is_ready| *is_ready).await;
@@ -150,7 +150,7 @@
         if relays.wait_for(|view| view.rank.is_some()).await.is_err() {
             return;
         }
-        if let Err(err) = refresh_contacts(node, &*book).await {
+        if let Err(err) = refresh_contacts(node, &*store).await {
             log::debug!("spread: cannot refresh contacts: {err}.");
         }
         let is_isolated = node.other_members().is_empty();
@@ -163,9 +163,9 @@
 /// contacts if they changed.
 async fn refresh_contacts(
     node: &Rc<SpreadNode>,
-    book: &dyn crate::source::ContactBook,
+    store: &dyn crate::source::ContactStore,
 ) -> Result<(), crate::source::SourceError> {
-    let contacts = book.read().await?;
+    let contacts = store.read().await?;
     let members = node.member_snapshot();
     let present: BTreeSet<SocketAddr> =
         members.values().filter(|record| record.is_active()).map(|record| record.control).collect();
@@ -176,7 +176,7 @@
     let wanted = choose_contacts(node, stored.unwrap_or_default());
     match stored == Some(wanted.as_slice()) {
         true => Ok(()),
-        false => book.write(data_centre, stored, &wanted).await,
+        false => store.write(data_centre, stored, &wanted).await,
     }
 }
 
--- a/components/spread/src/lib.rs
+++ b/components/spread/src/lib.rs
@@ -8,6 +8,7 @@
 mod auth;
 mod backoff;
 mod codec;
+mod config_holder;
 mod connect;
 mod counted;
 mod driver;
@@ -15,9 +16,8 @@
 mod forward;
 mod gate;
 mod hash_prefix;
-mod held_config;
 mod join;
-mod link_board;
+mod link_table;
 mod links;
 mod neighbours;
 mod node;
@@ -42,14 +42,14 @@
 #[path = "generated/peer_capnp.rs"]
 mod peer_capnp;
 
+pub use config_holder::{ConfigHolder, ConfigStatus, OfferOutcome};
 pub use counted::{ControlBytes, ControlMeter};
 pub use driver::{SpreadHandle, SpreadParts, StateReader, start_spread};
 pub use forward::{ForwardMethod, ForwardPlan, plan_forward};
-pub use held_config::{HeldConfig, HeldStatus, OfferOutcome};
-pub use options::{PassMode, SpreadOptions};
+pub use options::{ForwardMode, SpreadOptions};
 pub use sk_member::HistoryPosition;
 pub use source::{
-    AckSink, ConfigSource, ContactBook, ContactMap, NoticeBoard, SourceError, SourceNews,
+    AckSink, ConfigSource, ContactMap, ContactStore, NoticeExchange, SourceError, WatchResult,
 };
 pub use state::{CallKind, KindBytes, SpreadState};
 pub use tasks::VersionOrigin;
--- a/components/spread/src/link_board.rs
+++ b/components/spread/src/link_table.rs
@@ -25,7 +25,7 @@
 }
 
 /// All links, the liveness monitor and the rumor queues.
-pub(crate) struct LinkBoard {
+pub(crate) struct LinkTable {
     /// Rumors pending per link.
     pub(crate) rumors: RumorQueue,
     /// Detects failed neighbours.
@@ -35,7 +35,7 @@
     started_at: Instant,
 }
 
-impl LinkBoard {
+impl LinkTable {
     pub(crate) fn new(monitor: LivenessMonitor) -> Self {
         Self {
             rumors: RumorQueue::new(),
--- a/components/spread/src/links.rs
+++ b/components/spread/src/links.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     backoff::jittered,
-    link_board::LinkState,
+    link_table::LinkState,
     node::{CALL_TIMEOUT, SpreadNode},
     peer_capnp::{beat, peer},
     state::CallKind,
@@ -45,16 +45,16 @@
 
     /// Reports to the monitor that the connection to a peer ended without this side closing it.
     pub(crate) fn record_connection_lost(&self, proxy: &str) {
-        let mut board = self.links.borrow_mut();
-        let now = board.now();
-        board.monitor.record_reset(proxy, now);
+        let mut link_table = self.links.borrow_mut();
+        let now = link_table.now();
+        link_table.monitor.record_reset(proxy, now);
     }
 
     /// Reports to the monitor that a peer was heard from.
     fn record_alive(&self, proxy: &str) {
-        let mut board = self.links.borrow_mut();
-        let now = board.now();
-        board.monitor.record_heard(proxy, now);
+        let mut link_table = self.links.borrow_mut();
+        let now = link_table.now();
+        link_table.monitor.record_heard(proxy, now);
     }
 
     /// Writes this daemon's heartbeat: its version, member digest, readiness and freshness proof.
@@ -143,39 +143,39 @@
     let plan = OverlayPlan::new(members);
     let opened_links: BTreeSet<ProxyId> = plan.opened_links(&node.own_name).into_iter().collect();
     let neighbours: BTreeSet<ProxyId> = plan.neighbours(&node.own_name).cloned().collect();
-    let mut board = node.links.borrow_mut();
-    let now = board.now();
-    board.monitor.set_neighbours(neighbours.iter().cloned(), now);
+    let mut link_table = node.links.borrow_mut();
+    let now = link_table.now();
+    link_table.monitor.set_neighbours(neighbours.iter().cloned(), now);
     let is_kept = |proxy: &ProxyId, link: &LinkState| {
         neighbours.contains(proxy) && link.is_initiator == opened_links.contains(proxy)
     };
-    let links = std::mem::take(&mut board.links);
+    let links = std::mem::take(&mut link_table.links);
     for (proxy, link) in links {
         if is_kept(&proxy, &link) {
-            board.links.insert(proxy, link);
+            link_table.links.insert(proxy, link);
         } else {
-            board.rumors.remove_link(&proxy);
+            link_table.rumors.remove_link(&proxy);
             link.wakeup.notify_one();
         }
     }
     for proxy in neighbours {
-        if !board.links.contains_key(&proxy) {
-            board.rumors.add_link(proxy.clone());
+        if !link_table.links.contains_key(&proxy) {
+            link_table.rumors.add_link(proxy.clone());
             let is_initiator = opened_links.contains(&proxy);
             let link = Rc::new(LinkState::new(is_initiator));
-            board.links.insert(proxy.clone(), link.clone());
+            link_table.links.insert(proxy.clone(), link.clone());
             tokio::task::spawn_local(run_link(node.clone(), proxy, link));
         }
     }
-    node.stats.set_links(board.links.keys().cloned().collect());
+    node.stats.set_links(link_table.links.keys().cloned().collect());
 }
 
 /// Runs one link until the plan no longer contains it: sends heartbeats and rumors, and reconciles
 /// records where the digests stay different or rumors were lost.
 async fn run_link(node: Rc<SpreadNode>, proxy: ProxyId, link: Rc<LinkState>) {
     let is_current = || {
-        let board = node.links.borrow();
-        board.links.get(&proxy).is_some_and(|current| Rc::ptr_eq(current, &link))
+        let link_table = node.links.borrow();
+        link_table.links.get(&proxy).is_some_and(|current| Rc::ptr_eq(current, &link))
     };
     // Rumors from before the link's start are in no queue for it.
     let mut needs_repair = link.is_initiator;
--- a/components/spread/src/node.rs
+++ b/components/spread/src/node.rs
@@ -18,13 +18,13 @@
 
 use crate::{
     ack_batch::AckBatch,
+    config_holder::{ConfigHolder, OfferOutcome},
     counted::ControlMeter,
-    held_config::{HeldConfig, OfferOutcome},
-    link_board::LinkBoard,
+    link_table::LinkTable,
     options::SpreadOptions,
     pool::PeerPool,
     relay_view::RelayView,
-    source::{AckSink, ConfigSource, ContactBook, NoticeBoard},
+    source::{AckSink, ConfigSource, ContactStore, NoticeExchange},
     state::SpreadStats,
     tasks::{ConfirmOutcome, FetchTask, ForwardTask, VersionOrigin},
 };
@@ -42,24 +42,24 @@
     /// Origin of the times in freshness proofs.
     pub(crate) started_at: Instant,
     /// The held configuration.
-    pub(crate) config: Arc<HeldConfig>,
+    pub(crate) config: Arc<ConfigHolder>,
     pub(crate) members: Arc<SharedMembers>,
     pub(crate) source: Arc<dyn ConfigSource>,
     pub(crate) source_outage: OutageLog,
     /// Freshness proofs: when this daemon or a peer last knew that the held version is the newest.
     pub(crate) freshness: RefCell<FreshnessTracker>,
-    pub(crate) contacts: Option<Arc<dyn ContactBook>>,
+    pub(crate) contacts: Option<Arc<dyn ContactStore>>,
     pub(crate) acks: Arc<dyn AckSink>,
     /// Acknowledgements to pass on if this daemon is a relay.
     pub(crate) ack_batch: AckBatch,
-    pub(crate) notices: Option<Arc<dyn NoticeBoard>>,
+    pub(crate) notices: Option<Arc<dyn NoticeExchange>>,
     pub(crate) meter: Arc<ControlMeter>,
     pub(crate) stats: Arc<SpreadStats>,
     pub(crate) pool: PeerPool,
     /// Number of connections opened by peers that have not authenticated yet.
     pub(crate) unauthenticated: Cell<usize>,
     pub(crate) relays: watch::Sender<RelayView>,
-    pub(crate) links: RefCell<LinkBoard>,
+    pub(crate) links: RefCell<LinkTable>,
     /// Limits the fetches served at once.
     pub(crate) fetch_slots: Arc<Semaphore>,
     /// Queue of versions to forward.
@@ -153,7 +153,11 @@
     pub(crate) fn record_source_read(&self, read_at: Instant) {
         let polled_at = read_at.saturating_duration_since(self.started_at);
         let poller = self.freshness.borrow().own();
-        self.record_proof(FreshnessProof { poller, polled_at, history: self.source.history() });
+        self.record_proof(FreshnessProof {
+            poller,
+            polled_at,
+            history: self.source.history_position(),
+        });
     }
 
     /// Records a proof that the version held here was the newest one.
--- a/components/spread/src/notices.rs
+++ b/components/spread/src/notices.rs
@@ -31,11 +31,11 @@
         let revision = notices.revision();
         if revision != last_revision {
             last_revision = revision;
-            if let Some(body) = notices.take_changed() {
+            if let Some(body) = notices.encode_changed() {
                 send_to_links(node, &informed, &body).await;
             }
         }
-        match notices.everything() {
+        match notices.encode_all() {
             Some(body) if !new_links.is_empty() => {
                 informed.extend(send_to_links(node, &new_links, &body).await)
             }
--- a/components/spread/src/options.rs
+++ b/components/spread/src/options.rs
@@ -11,7 +11,7 @@
 
 /// How a daemon forwards a new version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum PassMode {
+pub enum ForwardMode {
     /// Sends the change along the tree; converges fastest.
     #[default]
     Push,
@@ -28,7 +28,7 @@
     /// Control addresses tried when joining the fleet.
     pub seeds: Vec<SocketAddr>,
     /// Whether changes are pushed or announced.
-    pub mode: PassMode,
+    pub mode: ForwardMode,
     /// Number of daemons that each daemon forwards a version to.
     pub fan_out: usize,
     /// Mean time between reconciliations with a random member.
@@ -69,7 +69,7 @@
         Self {
             secret: String::new(),
             seeds: Vec::new(),
-            mode: PassMode::Push,
+            mode: ForwardMode::Push,
             fan_out: 6,
             repair_interval: Duration::from_secs(2),
             relays: 2,
--- a/components/spread/src/source.rs
+++ b/components/spread/src/source.rs
@@ -1,5 +1,5 @@
 //! Interfaces that the rest of the daemon implements for the control thread: the configuration
-//! source, the contact book, notices and the sink of acknowledgements.
+//! source, the contact store, notices and the sink of acknowledgements.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -12,7 +12,7 @@
 /// Control addresses by data centre, as stored in the platform.
 pub type ContactMap = BTreeMap<DataCentre, Vec<SocketAddr>>;
 
-/// Failure of the configuration source or the contact book.
+/// Failure of the configuration source or the contact store.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("configuration source: {reason}")]
 pub struct SourceError {
@@ -22,12 +22,12 @@
 
 /// Result of waiting for a new version at the source.
 #[derive(Clone, Debug)]
-pub struct SourceNews {
+pub struct WatchResult {
     /// A configuration newer than the held one; `None` if there is none.
     pub newer: Option<ConfigSnapshot>,
     /// When the source was read, on this instance's monotonic clock. It may be earlier than the
     /// true time, never later: peers conclude from it that they hold the newest version.
-    pub seen_at: Instant,
+    pub read_at: Instant,
 }
 
 /// Source of accepted configurations.
@@ -41,7 +41,7 @@
     async fn load(&self, held: &ConfigSnapshot) -> Result<ConfigSnapshot, SourceError>;
 
     /// Waits up to `timeout` for a configuration newer than `held`. If there is none, the result's
-    /// `seen_at` is about the end of the wait.
+    /// `read_at` is about the end of the wait.
     ///
     /// # Errors
     ///
@@ -50,22 +50,22 @@
         &self,
         held: &ConfigSnapshot,
         timeout: Duration,
-    ) -> Result<SourceNews, SourceError>;
+    ) -> Result<WatchResult, SourceError>;
 
     /// Returns the position in the source's history up to which this daemon knows everything; zero
     /// if the source keeps no history.
-    fn history(&self) -> HistoryPosition {
+    fn history_position(&self) -> HistoryPosition {
         0
     }
 
     /// Continues at the position in the source's history that a peer knows. The version held here
     /// is the newest one up to there, so nothing before it has to be read.
-    fn follow_from(&self, _history: HistoryPosition) {}
+    fn resume_history(&self, _history: HistoryPosition) {}
 }
 
 /// Stores addresses of daemons for those that start without another way to find the fleet.
 #[async_trait]
-pub trait ContactBook: Send + Sync {
+pub trait ContactStore: Send + Sync {
     /// Reads the addresses of all data centres.
     ///
     /// # Errors
@@ -74,7 +74,7 @@
     async fn read(&self) -> Result<ContactMap, SourceError>;
 
     /// Replaces the addresses of one data centre. Must fail if another daemon has written since
-    /// `seen` was read: the loser then reads that daemon's addresses and joins it.
+    /// `previous` was read: the loser then reads that daemon's addresses and joins it.
     ///
     /// # Errors
     ///
@@ -92,16 +92,16 @@
 ///
 /// Merging is idempotent and commutative. What a merge changes counts as changed here, so that
 /// each daemon sends each notice on once.
-pub trait NoticeBoard: Send + Sync {
+pub trait NoticeExchange: Send + Sync {
     /// Returns a number that grows with each change.
     fn revision(&self) -> u64;
 
     /// Takes the notices that changed since the last call, encoded; `None` if nothing changed.
-    fn take_changed(&self) -> Option<Vec<u8>>;
+    fn encode_changed(&self) -> Option<Vec<u8>>;
 
     /// Returns all notices, encoded, for a daemon that may know none of them; `None` if there are
     /// none.
-    fn everything(&self) -> Option<Vec<u8>>;
+    fn encode_all(&self) -> Option<Vec<u8>>;
 
     /// Merges notices from a peer and returns whether they could be decoded.
     fn merge(&self, body: &[u8]) -> bool;
@@ -110,5 +110,5 @@
 /// Receives proxies' acknowledgements at a relay.
 pub trait AckSink: Send + Sync {
     /// Records acknowledgements; recording one twice changes nothing.
-    fn note(&self, acks: Vec<ProxyAck>);
+    fn record(&self, acks: Vec<ProxyAck>);
 }
--- a/components/spread/src/watch.rs
+++ b/components/spread/src/watch.rs
@@ -12,9 +12,9 @@
 
 use crate::{
     backoff::RetryPause,
-    held_config::OfferOutcome,
+    config_holder::OfferOutcome,
     node::{PLATFORM, SpreadNode},
-    source::SourceNews,
+    source::WatchResult,
     tasks::{ConfirmOutcome, VersionOrigin},
 };
 
@@ -96,7 +96,7 @@
     }
 
     /// Handles a successful wait: offers a newer version and records the freshness proof.
-    fn handle_result(&mut self, node: &SpreadNode, result: SourceNews) {
+    fn handle_result(&mut self, node: &SpreadNode, result: WatchResult) {
         node.source_outage.record_success();
         node.stats.set_source_fault(None);
         self.pause.reset();
@@ -104,7 +104,7 @@
             self.last_seen = Arc::new(snapshot.clone());
             node.offer(snapshot, PLATFORM, VersionOrigin::Source);
         }
-        node.record_source_read(result.seen_at);
+        node.record_source_read(result.read_at);
         // The next daemons in the order would also start to watch if they learnt of the success
         // only with the next regular heartbeat.
         if !std::mem::replace(&mut self.has_reported, true) {
@@ -132,7 +132,7 @@
             "spread: started to watch the configuration source."
         );
         if let Some(proof) = latest_proof {
-            node.source.follow_from(proof.history);
+            node.source.resume_history(proof.history);
         }
     }
 
--- a/components/spread/tests/bounded_stop.rs
+++ b/components/spread/tests/bounded_stop.rs
@@ -13,7 +13,7 @@
 use async_trait::async_trait;
 use common::{TestFleet, wait_for};
 use sk_model::ConfigSnapshot;
-use sk_spread::{ConfigSource, SourceError, SourceNews};
+use sk_spread::{ConfigSource, SourceError, WatchResult};
 
 /// A source whose calls block the thread that makes them.
 #[derive(Default)]
@@ -35,7 +35,11 @@
         Err(self.block_thread())
     }
 
-    async fn wait_newer(&self, _: &ConfigSnapshot, _: Duration) -> Result<SourceNews, SourceError> {
+    async fn wait_newer(
+        &self,
+        _: &ConfigSnapshot,
+        _: Duration,
+    ) -> Result<WatchResult, SourceError> {
         Err(self.block_thread())
     }
 }
--- a/components/spread/tests/common/mod.rs
+++ b/components/spread/tests/common/mod.rs
@@ -24,8 +24,8 @@
     TreeRef, ValueSetting, Version,
 };
 use sk_spread::{
-    AckSink, ConfigSource, ContactBook, ContactMap, ControlMeter, HeldConfig, SourceError,
-    SourceNews, SpreadHandle, SpreadOptions, SpreadParts, start_spread,
+    AckSink, ConfigHolder, ConfigSource, ContactMap, ContactStore, ControlMeter, SourceError,
+    SpreadHandle, SpreadOptions, SpreadParts, WatchResult, start_spread,
 };
 use tokio::sync::watch;
 
@@ -152,7 +152,7 @@
         &self,
         held: &ConfigSnapshot,
         timeout: Duration,
-    ) -> Result<SourceNews, SourceError> {
+    ) -> Result<WatchResult, SourceError> {
         let started_at = tokio::time::Instant::now();
         self.waits.fetch_add(1, Ordering::SeqCst);
         let mut newest = self.newest.subscribe();
@@ -167,8 +167,8 @@
             }
         };
         match tokio::time::timeout(timeout, wait).await {
-            Ok(newer) => newer.map(|newer| SourceNews { newer: Some(newer), seen_at: started_at }),
-            Err(_) => Ok(SourceNews { newer: None, seen_at: started_at + timeout }),
+            Ok(newer) => newer.map(|newer| WatchResult { newer: Some(newer), read_at: started_at }),
+            Err(_) => Ok(WatchResult { newer: None, read_at: started_at + timeout }),
         }
     }
 }
@@ -239,13 +239,13 @@
         &self,
         held: &ConfigSnapshot,
         timeout: Duration,
-    ) -> Result<SourceNews, SourceError> {
+    ) -> Result<WatchResult, SourceError> {
         self.call_through(timeout, self.platform.wait_newer(held, timeout)).await
     }
 }
 
 #[async_trait]
-impl ContactBook for FakePlatform {
+impl ContactStore for FakePlatform {
     async fn read(&self) -> Result<ContactMap, SourceError> {
         self.check_up()?;
         Ok(self.contacts.lock().expect("lock").clone())
@@ -285,7 +285,7 @@
 }
 
 impl AckSink for FakeSink {
-    fn note(&self, acks: Vec<ProxyAck>) {
+    fn record(&self, acks: Vec<ProxyAck>) {
         self.noted.fetch_add(acks.len(), Ordering::SeqCst);
         let mut stored = self.acks.lock().expect("lock");
         stored.extend(acks.into_iter().map(|ack| (ack.proxy.clone(), ack)));
@@ -295,7 +295,7 @@
 /// The control thread of one daemon. Dropping it stops the daemon without a leave, as in a crash.
 pub struct TestDaemon {
     pub handle: SpreadHandle,
-    pub config: Arc<HeldConfig>,
+    pub config: Arc<ConfigHolder>,
     pub members: Arc<SharedMembers>,
     pub meter: Arc<ControlMeter>,
     pub address: SocketAddr,
@@ -351,7 +351,7 @@
         self.start_with_source(name, data_centre, options, platform.clone(), platform)
     }
 
-    /// Starts a daemon whose source and contact book may be different platforms.
+    /// Starts a daemon whose source and contact store may be different platforms.
     pub fn start_with_source(
         &self,
         name: &str,
@@ -402,12 +402,12 @@
             guard: address,
             endpoints: Vec::new(),
         };
-        let config = Arc::new(HeldConfig::new());
+        let config = Arc::new(ConfigHolder::new());
         let members = Arc::new(SharedMembers::new(record));
         let meter = Arc::new(ControlMeter::default());
         let parts = SpreadParts {
             notices: None,
-            held: config.clone(),
+            config: config.clone(),
             members: members.clone(),
             source,
             contacts: Some(contacts),
--- a/components/spread/tests/control_bytes.rs
+++ b/components/spread/tests/control_bytes.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use common::{TestDaemon, TestFleet, all_hold, numbered, wait_for};
-use sk_spread::PassMode;
+use sk_spread::ForwardMode;
 
 /// Limit of a daemon's control traffic, in bytes a second in both directions.
 const MAX_BYTES_PER_S: u64 = 20_000;
@@ -36,7 +36,7 @@
     ((bytes - idle as f64 * started_at.elapsed().as_secs_f64()) / CHANGES as f64) as i64
 }
 
-fn measure(mode: PassMode) {
+fn measure(mode: ForwardMode) {
     let mut fleet = TestFleet::new();
     fleet.options.mode = mode;
     let daemons = fleet.start_all(&["lj1", "lj2"], 10);
@@ -64,10 +64,10 @@
 
 #[test]
 fn push_within_budget() {
-    measure(PassMode::Push);
+    measure(ForwardMode::Push);
 }
 
 #[test]
 fn announce_within_budget() {
-    measure(PassMode::Announce);
+    measure(ForwardMode::Announce);
 }
--- a/components/spread/tests/few_pushes.rs
+++ b/components/spread/tests/few_pushes.rs
@@ -9,14 +9,14 @@
     wait_for,
 };
 use sk_member::PushTree;
-use sk_spread::{ForwardMethod, PassMode, SpreadOptions, VersionOrigin, plan_forward};
+use sk_spread::{ForwardMethod, ForwardMode, SpreadOptions, VersionOrigin, plan_forward};
 
 /// Guards against every daemon that reads the source pushing what it read, as if it were the first
 /// relay: the copies fill slow links and delay the versions that follow.
 #[test]
 fn other_watchers_announce() {
     let own = "lj1-a".to_owned();
-    let plan = plan_forward(&VersionOrigin::Source, &own, None, PassMode::Push);
+    let plan = plan_forward(&VersionOrigin::Source, &own, None, ForwardMode::Push);
     assert_eq!((plan.method, plan.delay), (ForwardMethod::Announce, Duration::ZERO));
 }
 
--- a/components/spread/tests/overlapping_updates.rs
+++ b/components/spread/tests/overlapping_updates.rs
@@ -9,7 +9,7 @@
 };
 
 use common::{FakePlatform, TestFleet, all_hold, make_snapshot, noise, numbered, wait_for};
-use sk_spread::{PassMode, SpreadOptions};
+use sk_spread::{ForwardMode, SpreadOptions};
 
 /// Guards against versions that overtake each other in the tree when operators change settings
 /// several times within a second. No proxy may go back for a moment, and all must end on the
@@ -50,7 +50,7 @@
 #[test]
 fn steady_changes() {
     let mut fleet = TestFleet::new();
-    fleet.options.mode = PassMode::Announce;
+    fleet.options.mode = ForwardMode::Announce;
     let daemons = fleet.start_all(&["lj1"], 6);
     let mut version = 0;
     let took = wait_for("any version everywhere, while changes go on", || {
@@ -94,7 +94,7 @@
 #[test]
 fn capped_fetches() {
     let mut fleet = TestFleet::new();
-    fleet.options.mode = PassMode::Announce;
+    fleet.options.mode = ForwardMode::Announce;
     fleet.options.fan_out = 12;
     fleet.options.max_fetches = 1;
     let daemons = fleet.start_all(&["lj1"], 13);
--- a/components/spread/tests/tree_push.rs
+++ b/components/spread/tests/tree_push.rs
@@ -6,9 +6,9 @@
 
 use common::{TestDaemon, TestFleet, all_hold, numbered, wait_for};
 use sk_model::Version;
-use sk_spread::{ForwardMethod, KindBytes, PassMode, VersionOrigin, plan_forward};
+use sk_spread::{ForwardMethod, ForwardMode, KindBytes, VersionOrigin, plan_forward};
 
-fn spread_versions(mode: PassMode) {
+fn spread_versions(mode: ForwardMode) {
     let mut fleet = TestFleet::new();
     fleet.options.mode = mode;
     let daemons = fleet.start_all(&["lj1", "lj2"], 8);
@@ -28,12 +28,12 @@
 
 #[test]
 fn push_reaches_all() {
-    spread_versions(PassMode::Push);
+    spread_versions(ForwardMode::Push);
 }
 
 #[test]
 fn announce_reaches_all() {
-    spread_versions(PassMode::Announce);
+    spread_versions(ForwardMode::Announce);
 }
 
 // Guards against a gap in the tree at the second relay of a data centre, which sees each version
@@ -83,15 +83,15 @@
 fn forward_plans() {
     let own = "lj1-a".to_owned();
     let plan = |origin: VersionOrigin, rank, mode| plan_forward(&origin, &own, rank, mode);
-    let first = plan(VersionOrigin::Source, Some(0), PassMode::Push);
+    let first = plan(VersionOrigin::Source, Some(0), ForwardMode::Push);
     assert_eq!((first.method, first.delay.is_zero()), (ForwardMethod::Push, true));
-    let second = plan(VersionOrigin::Source, Some(1), PassMode::Push);
+    let second = plan(VersionOrigin::Source, Some(1), ForwardMode::Push);
     assert_eq!((second.method, second.delay.is_zero()), (ForwardMethod::Announce, false));
     let root = "lj1-b".to_owned();
-    let pushed = plan(VersionOrigin::Pushed { root: root.clone() }, None, PassMode::Push);
+    let pushed = plan(VersionOrigin::Pushed { root: root.clone() }, None, ForwardMode::Push);
     assert_eq!((pushed.method, pushed.root), (ForwardMethod::Push, root));
-    let found = plan(VersionOrigin::Found, None, PassMode::Push);
+    let found = plan(VersionOrigin::Found, None, ForwardMode::Push);
     assert_eq!((found.method, found.root), (ForwardMethod::Announce, own.clone()));
-    let announced = plan(VersionOrigin::Source, Some(0), PassMode::Announce);
+    let announced = plan(VersionOrigin::Source, Some(0), ForwardMode::Announce);
     assert_eq!((announced.method, announced.delay.is_zero()), (ForwardMethod::Announce, false));
 }
--- a/components/spread/tests/update_integrity.rs
+++ b/components/spread/tests/update_integrity.rs
@@ -8,7 +8,7 @@
 use proptest::{prelude::*, test_runner::TestRunner};
 use sk_model::{ConfigSnapshot, Version};
 use sk_spread::{
-    ConfigUpdate, HeldConfig, OfferOutcome, TreeContent, apply_update, make_tree_update,
+    ConfigHolder, ConfigUpdate, OfferOutcome, TreeContent, apply_update, make_tree_update,
     make_update, tree_hashes,
 };
 
@@ -95,8 +95,8 @@
         prop::collection::vec(any::<(prop::sample::Index, prop::sample::Index)>(), 1..24);
     runner
         .run(&(history(), deliveries), |(history, deliveries)| {
-            let held = HeldConfig::new();
-            held.set_ready(0);
+            let holder = ConfigHolder::new();
+            holder.set_ready(0);
             let mut naive = ConfigSnapshot::default();
             let mut is_naive_broken = false;
             for (first, second) in deliveries {
@@ -106,11 +106,11 @@
                 let before = naive.version();
                 naive = apply_naively(&naive, &update);
                 is_naive_broken |= is_broken(&history, before, &naive);
-                let current = held.current();
+                let current = holder.current();
                 if let Ok(snapshot) = apply_update(&current, update) {
-                    held.offer(snapshot, "peer", 0);
+                    holder.offer(snapshot, "peer", 0);
                 }
-                prop_assert!(!is_broken(&history, current.version(), &held.current()));
+                prop_assert!(!is_broken(&history, current.version(), &holder.current()));
             }
             naive_faults.set(naive_faults.get() + usize::from(is_naive_broken));
             Ok(())
@@ -123,22 +123,22 @@
 /// newest from another: its callers would go back to routes that its predecessor had left.
 #[test]
 fn nothing_before_ready() {
-    let held = HeldConfig::new();
-    assert_eq!(held.offer(common::numbered(4), "late peer", 1), OfferOutcome::Applied);
-    assert_eq!((held.current().version(), held.newest().version()), (0, 4));
-    assert_eq!(held.offer(common::numbered(6), "peer", 2), OfferOutcome::Applied);
-    held.set_ready(3);
-    let status = held.status();
+    let holder = ConfigHolder::new();
+    assert_eq!(holder.offer(common::numbered(4), "late peer", 1), OfferOutcome::Applied);
+    assert_eq!((holder.current().version(), holder.newest().version()), (0, 4));
+    assert_eq!(holder.offer(common::numbered(6), "peer", 2), OfferOutcome::Applied);
+    holder.set_ready(3);
+    let status = holder.status();
     assert_eq!((status.version, status.since, status.source.as_str()), (6, 3, "peer"));
-    assert_eq!(held.offer(common::numbered(5), "late peer", 4), OfferOutcome::NotNewer);
+    assert_eq!(holder.offer(common::numbered(5), "late peer", 4), OfferOutcome::NotNewer);
 }
 
 #[test]
 fn other_content_is_diverged() {
-    let held = HeldConfig::new();
-    held.set_ready(0);
-    held.offer(common::numbered(2), "peer", 1);
+    let holder = ConfigHolder::new();
+    holder.set_ready(0);
+    holder.offer(common::numbered(2), "peer", 1);
     let other = make_snapshot(2, &[("board", "a", "other")]);
-    assert_eq!(held.offer(other, "peer", 2), OfferOutcome::Diverged);
-    assert_eq!(*held.current(), common::numbered(2));
+    assert_eq!(holder.offer(other, "peer", 2), OfferOutcome::Diverged);
+    assert_eq!(*holder.current(), common::numbered(2));
 }
--- a/tests/fleet_model.rs
+++ b/tests/fleet_model.rs
@@ -12,8 +12,8 @@
     ChangeRequest, ConfigSnapshot, ProxyAck, RouteSetting, ServiceSetting, SettingBody,
     SettingWrites, validate_trees,
 };
-use sk_report::{KnownProxy, ProxyState, ReportBook, make_report, read_acks};
-use sk_spread::{ConfigUpdate, HeldConfig, OfferOutcome, apply_update, make_update};
+use sk_report::{AckBuffer, KnownProxy, ProxyState, make_fleet_report, read_acks};
+use sk_spread::{ConfigHolder, ConfigUpdate, OfferOutcome, apply_update, make_update};
 use sk_store::{FakeStore, SharedStore, WriteFault};
 
 const PROXIES: usize = 3;
@@ -111,19 +111,19 @@
 /// One proxy with the greatest version that it has had in force since its last start.
 struct ModelProxy {
     incarnation: u64,
-    held: HeldConfig,
+    holder: ConfigHolder,
     greatest_version: u64,
 }
 
 impl ModelProxy {
     fn start(incarnation: u64) -> Self {
-        let held = HeldConfig::new();
-        held.set_ready(0);
-        Self { incarnation, held, greatest_version: 0 }
+        let holder = ConfigHolder::new();
+        holder.set_ready(0);
+        Self { incarnation, holder, greatest_version: 0 }
     }
 
     fn ack(&self, index: usize) -> ProxyAck {
-        let status = self.held.status();
+        let status = self.holder.status();
         ProxyAck {
             proxy: format!("proxy{index}"),
             incarnation: self.incarnation,
@@ -140,7 +140,7 @@
     fake_store: Arc<FakeStore>,
     store: SharedStore,
     ledger: Ledger,
-    book: ReportBook,
+    ack_buffer: AckBuffer,
     proxies: Vec<ModelProxy>,
     queue: Vec<(usize, ConfigUpdate)>,
     /// Settings after each accepted version, by a naive application of its writes.
@@ -159,7 +159,7 @@
         let store: SharedStore = fake_store.clone();
         Self {
             ledger: Ledger::new(store.clone(), LedgerSettings::default()),
-            book: ReportBook::new(PREFIX),
+            ack_buffer: AckBuffer::new(PREFIX),
             proxies: (0..PROXIES).map(|_| ModelProxy::start(1)).collect(),
             queue: Vec::new(),
             accepted: BTreeMap::from([(0, BTreeMap::new())]),
@@ -185,7 +185,7 @@
             Step::Load(proxy) => self.load(proxy).await,
             Step::Send { from, to } => {
                 let (base, newest) =
-                    (self.proxies[to].held.current(), self.proxies[from].held.current());
+                    (self.proxies[to].holder.current(), self.proxies[from].holder.current());
                 self.queue.push((to, make_update(&base, &newest)));
             }
             Step::Deliver { index, is_kept } if !self.queue.is_empty() => {
@@ -194,9 +194,9 @@
                 if !is_kept {
                     self.queue.swap_remove(index);
                 }
-                let held = &self.proxies[to].held;
-                if let Ok(snapshot) = apply_update(&held.current(), update) {
-                    held.offer(snapshot, "peer", 1);
+                let holder = &self.proxies[to].holder;
+                if let Ok(snapshot) = apply_update(&holder.current(), update) {
+                    holder.offer(snapshot, "peer", 1);
                 }
             }
             Step::Drop(index) if !self.queue.is_empty() => {
@@ -208,8 +208,8 @@
                 let incarnation = self.proxies[proxy].incarnation + 1;
                 self.proxies[proxy] = ModelProxy::start(incarnation);
             }
-            Step::Ack(proxy) => self.book.note(vec![self.proxies[proxy].ack(proxy)]),
-            Step::Flush => drop(self.book.flush(&self.store).await),
+            Step::Ack(proxy) => self.ack_buffer.add(vec![self.proxies[proxy].ack(proxy)]),
+            Step::Flush => drop(self.ack_buffer.flush(&self.store).await),
         }
         self.check().await;
     }
@@ -252,9 +252,9 @@
 
     /// Offers a proxy the newest configuration of the platform.
     async fn load(&mut self, proxy: usize) {
-        let held = &self.proxies[proxy].held;
-        if let Ok(snapshot) = self.ledger.load(&held.current()).await {
-            held.offer(snapshot, "platform", 1);
+        let holder = &self.proxies[proxy].holder;
+        if let Ok(snapshot) = self.ledger.load(&holder.current()).await {
+            holder.offer(snapshot, "platform", 1);
         }
     }
 
@@ -262,7 +262,7 @@
     async fn check(&mut self) {
         self.resolve_unknown().await;
         for (index, proxy) in self.proxies.iter_mut().enumerate() {
-            let snapshot = proxy.held.current();
+            let snapshot = proxy.holder.current();
             let version = snapshot.version();
             assert!(version >= proxy.greatest_version, "proxy {index} moved back");
             proxy.greatest_version = version;
@@ -285,7 +285,7 @@
     async fn resolve_unknown(&mut self) {
         let mut found = Vec::new();
         for request in &self.unknown_submits {
-            if let Ok(Some(record)) = self.ledger.outcome(&request.change_id).await {
+            if let Ok(Some(record)) = self.ledger.find_change(&request.change_id).await {
                 found.push((record.version, request.clone()));
             }
         }
@@ -313,9 +313,9 @@
             (format!("proxy{index}"), known)
         };
         let known = self.proxies.iter().enumerate().map(known).collect();
-        let report = make_report(newest.root.change.clone(), &known, &acks);
+        let report = make_fleet_report(newest.root.change.clone(), &known, &acks);
         for (proxy, state) in self.proxies.iter().zip(&report.proxies) {
-            let version = proxy.held.current().version();
+            let version = proxy.holder.current().version();
             assert!(
                 state.version <= version,
                 "the report claims a newer version than {} has",
@@ -345,13 +345,13 @@
         self.queue.clear();
         for proxy in 0..PROXIES {
             self.load(proxy).await;
-            self.book.note(vec![self.proxies[proxy].ack(proxy)]);
+            self.ack_buffer.add(vec![self.proxies[proxy].ack(proxy)]);
         }
-        self.book.flush(&self.store).await.expect("the platform is available");
+        self.ack_buffer.flush(&self.store).await.expect("the platform is available");
         self.check().await;
         let last = *self.accepted.keys().last().expect("version zero is there");
         for proxy in &self.proxies {
-            assert_eq!(proxy.held.current().version(), last, "accepted but not in force");
+            assert_eq!(proxy.holder.current().version(), last, "accepted but not in force");
         }
         let history = self.ledger.history(1, 10_000).await.expect("the platform is available");
         assert_eq!(history.len() as u64, last, "an accepted change is lost");
@@ -388,14 +388,14 @@
     };
     let reordered = [snapshot(2), snapshot(1)];
     let mut naive = ConfigSnapshot::default();
-    let held = HeldConfig::new();
-    held.set_ready(0);
+    let holder = ConfigHolder::new();
+    holder.set_ready(0);
     let mut outcomes = Vec::new();
     for arrived in reordered {
         naive = arrived.clone();
-        outcomes.push(held.offer(arrived, "peer", 1));
+        outcomes.push(holder.offer(arrived, "peer", 1));
     }
     assert_eq!(naive.version(), 1, "the naive proxy moved back");
-    assert_eq!(held.current().version(), 2);
+    assert_eq!(holder.current().version(), 2);
     assert_eq!(outcomes, [OfferOutcome::Applied, OfferOutcome::NotNewer]);
 }
