--- a/components/daemon/src/daemon.rs
+++ b/components/daemon/src/daemon.rs
@@ -33,7 +33,7 @@
 use tokio::{net::TcpListener, task::JoinHandle, time::Instant};
 
 use crate::{
-    claims::ClaimBookGate,
+    claims::ClaimClientGate,
     contacts::StoreContacts,
     error::DaemonError,
     identify::identify_server,
@@ -129,7 +129,7 @@
     members: Arc<SharedMembers>,
     servers: Arc<LocalServerList>,
     table: SharedTable,
-    report_book: Arc<AckBuffer>,
+    ack_buffer: Arc<AckBuffer>,
     meter: Arc<ControlMeter>,
     claims: Arc<ClaimClient>,
     quarantine: Arc<SharedQuarantine>,
@@ -184,7 +184,7 @@
         )),
         tokio::spawn(tasks::expire_servers(parts.servers.clone(), parts.members.clone(), ttl)),
         tokio::spawn(watch_reachability(parts.unreachable.clone(), parts.members.clone())),
-        tokio::spawn(tasks::flush_reports(parts.report_book.clone(), parts.store.clone(), flush)),
+        tokio::spawn(tasks::flush_reports(parts.ack_buffer.clone(), parts.store.clone(), flush)),
         tokio::spawn(send_metrics(settings.metrics.address, port, parts.counters.clone())),
     ];
     tasks.extend(scrape);
@@ -220,7 +220,7 @@
     }
 
     /// Waits until the control thread, without which the daemon cannot run, has ended by itself.
-    pub async fn failed(&self) {
+    pub async fn wait_for_failure(&self) {
         let mut ended = self.spread.ended();
         while ended.changed().await.is_ok() {}
         log::error!("daemon: the control thread ended unexpectedly.");
@@ -228,7 +228,7 @@
 
     /// Applies settings that were changed while the daemon runs. Only `instance.service` takes
     /// effect; all others need a restart.
-    pub fn reload(&self, settings: &DaemonSettings) {
+    pub fn apply_settings(&self, settings: &DaemonSettings) {
         let service = local_service(&self.platform, settings);
         log::info!("daemon: settings read again, service {service:?}.");
         self.local_service.store(service.map(Arc::new));
@@ -340,7 +340,7 @@
         members: Arc::new(SharedMembers::new(own_record(settings, addresses))),
         servers: Arc::new(LocalServerList::new(server_limits(settings))),
         table: SharedTable::default(),
-        report_book: Arc::new(AckBuffer::new(&key_prefix)),
+        ack_buffer: Arc::new(AckBuffer::new(&key_prefix)),
         meter: Arc::default(),
         quarantine: Arc::new(SharedQuarantine::new(quarantine_settings(settings))),
         counters: Arc::default(),
@@ -381,7 +381,7 @@
         quarantine: parts.quarantine.clone(),
         counters: parts.counters.clone(),
         table: parts.table.clone(),
-        report_book: parts.report_book.clone(),
+        ack_buffer: parts.ack_buffer.clone(),
         spread: parts.spread.clone(),
         proxy_address: addresses.proxy,
         platform: parts.platform.clone(),
@@ -416,7 +416,7 @@
         members: parts.members.clone(),
         source: parts.platform.source(&parts.ledger),
         contacts: Some(Arc::new(contacts)),
-        acks: Arc::new(ReportAckSink { report_book: parts.report_book.clone() }),
+        acks: Arc::new(ReportAckSink { ack_buffer: parts.ack_buffer.clone() }),
         notices: Some(Arc::new(QuarantineNotices { quarantine: parts.quarantine.clone() })),
         meter: parts.meter.clone(),
     };
@@ -444,7 +444,7 @@
         servers: parts.servers.clone(),
         token: GuardToken::new(&fleet_secret(settings)),
         quarantine: parts.quarantine.clone(),
-        claims: Some(Arc::new(ClaimBookGate { claim_book: parts.claims.clone() })),
+        claims: Some(Arc::new(ClaimClientGate { claim_client: parts.claims.clone() })),
         counters: parts.counters.clone(),
         headers: parts.platform.headers.clone(),
         failed_calls: FailedCalls::default(),
--- a/components/daemon/src/dump.rs
+++ b/components/daemon/src/dump.rs
@@ -34,7 +34,7 @@
             suspects: self.quarantine.len() as u64,
             quarantined: count_quarantined(&self.quarantine),
             proxy_address: self.proxy_address,
-            control: view_control(spread, self.report_book.pending_data_centres()),
+            control: view_control(spread, self.ack_buffer.pending_data_centres()),
             requests: view_requests(&self.counters, &self.table.load()),
             servers: servers.iter().map(|endpoint| view_server(endpoint, &guards)).collect(),
             members: members.values().map(|record| view_peer(record, &marks)).collect(),
--- a/components/daemon/src/port.rs
+++ b/components/daemon/src/port.rs
@@ -20,8 +20,8 @@
     ChangeRecord, ChangeRequest, ConfigSnapshot, ProxyId, TeamName, Version, unix_time_ms,
 };
 use sk_ops::{
-    HeldView, MAX_SERVICES, OperatorPort, OpsError, ServerAnnouncement, ServerBeat, ServerState,
-    StateDump, TeamRecord, TeamView,
+    HeartbeatBody, MAX_SERVICES, OperatorPort, OpsError, ServerAnnouncement, ServerState,
+    SettingsView, StateDump, TeamRecord, TeamView,
 };
 use sk_proxy::{
     LocalServer, LocalServerList, ProxyCounters, SharedQuarantine, SharedTable, time_since_start,
@@ -54,7 +54,7 @@
     pub(crate) quarantine: Arc<SharedQuarantine>,
     pub(crate) counters: Arc<ProxyCounters>,
     pub(crate) table: SharedTable,
-    pub(crate) report_book: Arc<AckBuffer>,
+    pub(crate) ack_buffer: Arc<AckBuffer>,
     /// Set as soon as the control thread runs.
     pub(crate) spread: Arc<OnceLock<StateReader>>,
     pub(crate) proxy_address: SocketAddr,
@@ -98,12 +98,12 @@
         Ok(record)
     }
 
-    async fn outcome(&self, change_id: &str) -> Result<Option<ChangeRecord>, OpsError> {
+    async fn find_change(&self, change_id: &str) -> Result<Option<ChangeRecord>, OpsError> {
         let record = self.ledger.find_change(change_id).await;
         record.map_err(|err| OpsError::from_ledger(&err, unix_time_ms()))
     }
 
-    async fn newest(&self) -> Result<HeldView, OpsError> {
+    async fn read_newest(&self) -> Result<SettingsView, OpsError> {
         let snapshot = self.load_accepted().await?;
         Ok(view_snapshot(&snapshot))
     }
@@ -142,7 +142,7 @@
         vec![self.members.own().guard.ip(), self.proxy_address.ip()]
     }
 
-    fn announce(
+    fn announce_server(
         &self,
         announcement: ServerAnnouncement,
         address: SocketAddr,
@@ -184,19 +184,24 @@
         (is_ready && version > 0).then_some(version)
     }
 
-    fn beat(&self, name: &str, beat: ServerBeat, address: SocketAddr) -> Result<(), OpsError> {
+    fn handle_heartbeat(
+        &self,
+        name: &str,
+        heartbeat: HeartbeatBody,
+        address: SocketAddr,
+    ) -> Result<(), OpsError> {
         let heartbeat = ServerHeartbeat {
             name: name.to_owned(),
-            started_at: beat.born.unwrap_or_default(),
-            sequence: beat.sequence,
-            service: self.platform.service_path(&beat.service),
+            started_at: heartbeat.born.unwrap_or_default(),
+            sequence: heartbeat.sequence,
+            service: self.platform.service_path(&heartbeat.service),
             address,
-            slots: beat.slots,
-            status: match beat.state {
+            slots: heartbeat.slots,
+            status: match heartbeat.state {
                 ServerState::Ready => EndpointStatus::Ready,
                 ServerState::Draining => EndpointStatus::Draining,
             },
-            warm_up: Duration::from_millis(beat.warm_up_left),
+            warm_up: Duration::from_millis(heartbeat.warm_up_left),
         };
         match self.lock_heartbeats().classify(&heartbeat, time_since_start()) {
             HeartbeatStatus::Current => self.apply_heartbeat(heartbeat),
@@ -207,7 +212,7 @@
         Ok(())
     }
 
-    fn leave(&self, name: &str) -> Result<(), OpsError> {
+    fn deregister_server(&self, name: &str) -> Result<(), OpsError> {
         let server_id =
             self.lock_heartbeats().record_leave(name, unix_time_ms(), time_since_start());
         log::info!("ops: server {name} deregistered.");
@@ -274,12 +279,12 @@
     }
 }
 
-fn view_snapshot(snapshot: &ConfigSnapshot) -> HeldView {
+fn view_snapshot(snapshot: &ConfigSnapshot) -> SettingsView {
     let view = |(team, tree_ref): (&TeamName, &sk_model::TreeRef)| {
         let tree = snapshot.trees.get(team);
         let settings = tree.map(|tree| tree.settings.clone()).unwrap_or_default();
         (team.clone(), TeamView { version: tree_ref.version, settings })
     };
     let teams: BTreeMap<_, _> = snapshot.root.trees.iter().map(view).collect();
-    HeldView { version: snapshot.version(), teams }
+    SettingsView { version: snapshot.version(), teams }
 }
--- a/components/daemon/src/source.rs
+++ b/components/daemon/src/source.rs
@@ -39,11 +39,11 @@
 
 /// Passes acknowledgements from the control thread to the acknowledgement buffer.
 pub(crate) struct ReportAckSink {
-    pub(crate) report_book: Arc<AckBuffer>,
+    pub(crate) ack_buffer: Arc<AckBuffer>,
 }
 
 impl AckSink for ReportAckSink {
     fn record(&self, acks: Vec<ProxyAck>) {
-        self.report_book.add(acks);
+        self.ack_buffer.add(acks);
     }
 }
--- a/components/ops/src/announcement.rs
+++ b/components/ops/src/announcement.rs
@@ -10,7 +10,7 @@
 
 use sk_model::check_path;
 
-use crate::{OpsError, ServerAnnouncement, ServerBeat};
+use crate::{HeartbeatBody, OpsError, ServerAnnouncement};
 
 /// Slots that a server may announce. A server without slots would never receive work, and more
 /// slots than the largest server has would disable the guard's limit.
@@ -64,14 +64,14 @@
 /// Returns the same errors as [`check_announcement`].
 pub fn check_heartbeat(
     name: &str,
-    beat: &ServerBeat,
+    heartbeat: &HeartbeatBody,
     sender: IpAddr,
     own_ips: &[IpAddr],
 ) -> Result<SocketAddr, OpsError> {
     let malformed = |reason: &dyn ToString| OpsError::Malformed { reason: reason.to_string() };
-    let address = beat.address.parse::<SocketAddr>();
+    let address = heartbeat.address.parse::<SocketAddr>();
     let address = address.map_err(|_| malformed(&"`address`; allowed: IP and port"))?;
-    match beat {
+    match heartbeat {
         _ if !is_own_instance(sender, own_ips) => {
             Err(foreign_instance_error("heartbeat came from"))
         }
@@ -79,8 +79,8 @@
         _ if !is_server_id(name) => {
             Err(malformed(&"the id; allowed: 1 to 64 of A-Z a-z 0-9 - _ . :"))
         }
-        _ if beat.service.is_empty() => Err(malformed(&"`service`; allowed: a name")),
-        beat if !ALLOWED_SLOTS.contains(&beat.slots) => {
+        _ if heartbeat.service.is_empty() => Err(malformed(&"`service`; allowed: a name")),
+        heartbeat if !ALLOWED_SLOTS.contains(&heartbeat.slots) => {
             Err(malformed(&"`slots`; allowed: 1 to 10000"))
         }
         _ => Ok(address),
--- a/components/ops/src/error.rs
+++ b/components/ops/src/error.rs
@@ -24,7 +24,8 @@
     },
     /// Another change to the subtree was accepted after the operator read it.
     #[error("the subtree was changed meanwhile")]
-    Raced {
+    #[serde(rename = "raced")]
+    Conflict {
         /// The changes accepted since then.
         conflicting: Vec<ChangeRecord>,
     },
@@ -79,7 +80,7 @@
     /// Converts a refusal of the ledger; `now` is the start of a wait before a retry.
     pub fn from_submit(err: SubmitError, now: UnixMillis) -> Self {
         match err {
-            SubmitError::Conflict { conflicting } => Self::Raced { conflicting },
+            SubmitError::Conflict { conflicting } => Self::Conflict { conflicting },
             SubmitError::Invalid { faults } => Self::Invalid { faults },
             SubmitError::IdReused { record } => Self::IdReused { record },
             SubmitError::NotAccepted { retry_after } => {
@@ -109,7 +110,7 @@
         match self {
             Self::Unauthorised => ErrorStatusCode::UNAUTHORIZED,
             Self::Forbidden { .. } => ErrorStatusCode::FORBIDDEN,
-            Self::Raced { .. } | Self::IdReused { .. } => ErrorStatusCode::CONFLICT,
+            Self::Conflict { .. } | Self::IdReused { .. } => ErrorStatusCode::CONFLICT,
             Self::Invalid { .. } => ErrorStatusCode::UNPROCESSABLE_ENTITY,
             Self::Malformed { .. } => ErrorStatusCode::BAD_REQUEST,
             Self::NotAccepted { .. } | Self::NotReady => ErrorStatusCode::SERVICE_UNAVAILABLE,
--- a/components/ops/src/lib.rs
+++ b/components/ops/src/lib.rs
@@ -16,6 +16,6 @@
 pub use port::{OperatorPort, SharedPort};
 pub use server::{OpsHandle, start_ops};
 pub use wire::{
-    ControlView, HeartbeatAnswer, HeldView, PeerView, ReadyView, RequestView, ServerAnnouncement,
-    ServerBeat, ServerState, ServerView, StateDump, TeamRecord, TeamView,
+    ControlView, HeartbeatAnswer, HeartbeatBody, PeerView, ReadyView, RequestView,
+    ServerAnnouncement, ServerState, ServerView, SettingsView, StateDump, TeamRecord, TeamView,
 };
--- a/components/ops/src/port.rs
+++ b/components/ops/src/port.rs
@@ -9,7 +9,7 @@
 use sk_model::{ChangeRecord, ChangeRequest, TeamName, Version};
 use sk_report::{ChangeReport, FleetReport};
 
-use crate::{HeldView, OpsError, ServerAnnouncement, ServerBeat, StateDump, TeamRecord};
+use crate::{HeartbeatBody, OpsError, ServerAnnouncement, SettingsView, StateDump, TeamRecord};
 
 /// A port that the interface's handlers share.
 pub type SharedPort = Arc<dyn OperatorPort>;
@@ -34,10 +34,10 @@
     async fn submit(&self, request: ChangeRequest) -> Result<ChangeRecord, OpsError>;
 
     /// Looks up an accepted change, `None` where there is none with this identifier.
-    async fn outcome(&self, change_id: &str) -> Result<Option<ChangeRecord>, OpsError>;
+    async fn find_change(&self, change_id: &str) -> Result<Option<ChangeRecord>, OpsError>;
 
     /// Reads the newest accepted configuration.
-    async fn newest(&self) -> Result<HeldView, OpsError>;
+    async fn read_newest(&self) -> Result<SettingsView, OpsError>;
 
     /// Reads up to `max_records` changes from version `from` on, in version order.
     async fn history(
@@ -62,13 +62,18 @@
     fn ready(&self) -> Option<Version>;
 
     /// Handles a checked heartbeat of the local backend server `name`, which listens on `address`.
-    fn beat(&self, name: &str, beat: ServerBeat, address: SocketAddr) -> Result<(), OpsError>;
+    fn handle_heartbeat(
+        &self,
+        name: &str,
+        heartbeat: HeartbeatBody,
+        address: SocketAddr,
+    ) -> Result<(), OpsError>;
 
     /// Handles the deregistration of the local backend server `name`.
-    fn leave(&self, name: &str) -> Result<(), OpsError>;
+    fn deregister_server(&self, name: &str) -> Result<(), OpsError>;
 
     /// Handles a checked announcement of the local backend server, which listens on `address`.
-    fn announce(
+    fn announce_server(
         &self,
         announcement: ServerAnnouncement,
         address: SocketAddr,
--- a/components/ops/src/server.rs
+++ b/components/ops/src/server.rs
@@ -15,8 +15,8 @@
 use sk_report::{ChangeReport, FleetReport};
 
 use crate::{
-    HeartbeatAnswer, HeldView, OpsError, ReadyView, ServerAnnouncement, ServerBeat, SharedPort,
-    StateDump, TeamRecord,
+    HeartbeatAnswer, HeartbeatBody, OpsError, ReadyView, ServerAnnouncement, SettingsView,
+    SharedPort, StateDump, TeamRecord,
     access::is_token,
     announcement::{check_announcement, check_heartbeat},
 };
@@ -175,7 +175,7 @@
     bearer_token(&request)?;
     let id = path.into_inner().id;
     require_change_id(&id)?;
-    let record = request.context().outcome(&id).await?;
+    let record = request.context().find_change(&id).await?;
     let record = record.ok_or(OpsError::NotFound { what: format!("change {id}") })?;
     // Without this check, a guessed identifier would show one team's paths and authors to another.
     if require_manager(&request).is_err() {
@@ -186,16 +186,16 @@
 
 /// Reads the settings of one team, or of all teams with the managers' token.
 #[endpoint { method = GET, path = "/v1/settings" }]
-async fn get_settings(request: OpsRequest, query: Query<TeamQuery>) -> OpsResult<HeldView> {
+async fn get_settings(request: OpsRequest, query: Query<TeamQuery>) -> OpsResult<SettingsView> {
     let team = query.into_inner().team;
     match &team {
         Some(team) if require_manager(&request).is_err() => require_team(&request, team).await?,
         Some(_) => (),
         None => require_manager(&request)?,
     }
-    let mut view = request.context().newest().await?;
-    view.teams.retain(|name, _| team.as_ref().is_none_or(|team| team == name));
-    Ok(HttpResponseOk(view))
+    let mut settings = request.context().read_newest().await?;
+    settings.teams.retain(|name, _| team.as_ref().is_none_or(|team| team == name));
+    Ok(HttpResponseOk(settings))
 }
 
 /// Reads the history of changes.
@@ -262,7 +262,7 @@
     let announcement = body.into_inner();
     let sender = request.request.remote_addr().ip();
     let address = check_announcement(&announcement, sender, &request.context().own_ips())?;
-    request.context().announce(announcement, address)?;
+    request.context().announce_server(announcement, address)?;
     Ok(HttpResponseUpdatedNoContent())
 }
 
@@ -289,20 +289,20 @@
     body: UntypedBody,
 ) -> OpsResult<HeartbeatAnswer> {
     let id = path.into_inner().id;
-    let beat: ServerBeat = serde_json::from_slice(body.as_bytes()).map_err(|err| {
+    let heartbeat: HeartbeatBody = serde_json::from_slice(body.as_bytes()).map_err(|err| {
         // A heartbeat of an unknown form changes no server; accepted heartbeats stay valid.
         log::warn!("ops: cannot decode a heartbeat of server {id:?}: {err}.");
         OpsError::Malformed { reason: err.to_string() }
     })?;
     let sender = request.request.remote_addr().ip();
-    let address = check_heartbeat(&id, &beat, sender, &request.context().own_ips())?;
-    request.context().beat(&id, beat, address)?;
+    let address = check_heartbeat(&id, &heartbeat, sender, &request.context().own_ips())?;
+    request.context().handle_heartbeat(&id, heartbeat, address)?;
     Ok(HttpResponseOk(HeartbeatAnswer::default()))
 }
 
 /// Handles the deregistration of the local backend server.
 #[endpoint { method = POST, path = "/v1/servers/{id}/leave" }]
 async fn post_leave(request: OpsRequest, path: Path<ServerPath>) -> OpsResult<HeartbeatAnswer> {
-    request.context().leave(&path.into_inner().id)?;
+    request.context().deregister_server(&path.into_inner().id)?;
     Ok(HttpResponseOk(HeartbeatAnswer::default()))
 }
--- a/components/ops/src/wire.rs
+++ b/components/ops/src/wire.rs
@@ -28,7 +28,7 @@
 
 /// A heartbeat of the local backend server, in the platform's format. Other fields are ignored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
-pub struct ServerBeat {
+pub struct HeartbeatBody {
     /// Service it runs, as the platform names it.
     pub service: String,
     /// Address that it listens on, as IP and port.
@@ -87,7 +87,7 @@
 
 /// The accepted configuration as the caller may see it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
-pub struct HeldView {
+pub struct SettingsView {
     /// Version of the configuration.
     pub version: Version,
     /// Settings by team.
--- a/components/ops/tests/common/mod.rs
+++ b/components/ops/tests/common/mod.rs
@@ -16,7 +16,7 @@
 use async_trait::async_trait;
 use sk_model::{ChangeRecord, ChangeRequest, TeamName, Version};
 use sk_ops::{
-    HeldView, OperatorPort, OpsError, OpsHandle, ServerAnnouncement, ServerBeat, StateDump,
+    HeartbeatBody, OperatorPort, OpsError, OpsHandle, ServerAnnouncement, SettingsView, StateDump,
     TeamRecord, hash_token, start_ops,
 };
 use sk_report::{ChangeReport, FleetReport};
@@ -91,14 +91,14 @@
         Ok(record())
     }
 
-    async fn outcome(&self, change_id: &str) -> Result<Option<ChangeRecord>, OpsError> {
+    async fn find_change(&self, change_id: &str) -> Result<Option<ChangeRecord>, OpsError> {
         self.count_read();
         Ok((change_id == "c1").then(record))
     }
 
-    async fn newest(&self) -> Result<HeldView, OpsError> {
+    async fn read_newest(&self) -> Result<SettingsView, OpsError> {
         self.count_read();
-        Ok(HeldView { version: 1, teams: BTreeMap::new() })
+        Ok(SettingsView { version: 1, teams: BTreeMap::new() })
     }
 
     async fn history(&self, _: Version, _: usize) -> Result<Vec<ChangeRecord>, OpsError> {
@@ -128,15 +128,15 @@
         None
     }
 
-    fn beat(&self, _: &str, _: ServerBeat, _: SocketAddr) -> Result<(), OpsError> {
+    fn handle_heartbeat(&self, _: &str, _: HeartbeatBody, _: SocketAddr) -> Result<(), OpsError> {
         Ok(())
     }
 
-    fn leave(&self, _: &str) -> Result<(), OpsError> {
+    fn deregister_server(&self, _: &str) -> Result<(), OpsError> {
         Ok(())
     }
 
-    fn announce(&self, _: ServerAnnouncement, _: SocketAddr) -> Result<(), OpsError> {
+    fn announce_server(&self, _: ServerAnnouncement, _: SocketAddr) -> Result<(), OpsError> {
         self.count_write();
         Ok(())
     }
--- a/src/bin/sapphirekeeld.rs
+++ b/src/bin/sapphirekeeld.rs
@@ -67,7 +67,7 @@
     let has_failed = tokio::select! {
         _ = terminate.recv() => false,
         _ = interrupt.recv() => false,
-        () = daemon.failed() => true,
+        () = daemon.wait_for_failure() => true,
         () = follow_settings(&daemon, file, hangup) => true,
     };
     let is_clean = daemon.stop().await;
@@ -92,7 +92,7 @@
         }
         last_bytes = bytes;
         match read_settings(file) {
-            Ok(settings) => daemon.reload(&settings),
+            Ok(settings) => daemon.apply_settings(&settings),
             Err(err) => {
                 log::error!("daemon: new settings are invalid, the old ones stay in effect: {err}.")
             }
--- a/src/cmd/get.rs
+++ b/src/cmd/get.rs
@@ -1,6 +1,6 @@
 //! Prints accepted settings.
 
-use sk_ops::HeldView;
+use sk_ops::SettingsView;
 
 use super::{CmdOutcome, print_call_error, print_json};
 use crate::{cli::GetArgs, client::OpsClient};
@@ -8,7 +8,7 @@
 /// Prints the settings of one team, or of all teams.
 pub async fn run(client: &OpsClient, args: &GetArgs, is_json: bool) -> anyhow::Result<CmdOutcome> {
     let query = args.team.as_ref().map(|team| format!("?team={team}")).unwrap_or_default();
-    let view: HeldView = match client.get(&format!("/v1/settings{query}")).await {
+    let view: SettingsView = match client.get(&format!("/v1/settings{query}")).await {
         Ok(view) => view,
         Err(err) => return Ok(print_call_error(&err)),
     };
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -95,7 +95,7 @@
 /// Prints why a call has no result and returns the command's outcome.
 pub fn print_call_error(err: &CallError) -> CmdOutcome {
     match err {
-        CallError::Refused(OpsError::Raced { conflicting }) => {
+        CallError::Refused(OpsError::Conflict { conflicting }) => {
             eprintln!("refused: the subtree was changed meanwhile:");
             for record in conflicting {
                 let paths = [record.written.clone(), record.withdrawn.clone()].concat().join(" ");
--- a/src/cmd/plan.rs
+++ b/src/cmd/plan.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 use sk_model::{SettingWrites, TeamName, Version, diff_settings};
-use sk_ops::{HeldView, TeamView};
+use sk_ops::{SettingsView, TeamView};
 
 use super::{CmdOutcome, print_call_error, print_json, print_refusal};
 use crate::{
@@ -50,7 +50,7 @@
 
 /// Reads a team's accepted settings; a team without any has version 0.
 pub async fn read_accepted(client: &OpsClient, team: &str) -> Result<TeamView, CallError> {
-    let mut view: HeldView = client.get(&format!("/v1/settings?team={team}")).await?;
+    let mut view: SettingsView = client.get(&format!("/v1/settings?team={team}")).await?;
     let empty = TeamView { version: 0, settings: Default::default() };
     Ok(view.teams.remove(team).unwrap_or(empty))
 }
