--- a/components/daemon/src/platform.rs
+++ b/components/daemon/src/platform.rs
@@ -4,7 +4,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use sk_adapter::{ObjectApi, PlatformSource, PlatformStore, PlatformWords, service_path};
+use sk_adapter::{ObjectClient, PlatformHeaders, PlatformSource, PlatformStore, service_path};
 use sk_ledger::Ledger;
 use sk_model::ServiceName;
 use sk_proxy::{HeaderTranslation, NativeHeaders};
@@ -38,12 +38,12 @@
                 external: None,
             },
             PlatformKind::Objects => {
-                let api = ObjectApi::new(&address, timeout);
+                let client = ObjectClient::new(&address, timeout);
                 Self {
                     form: settings.form,
-                    store: Arc::new(PlatformStore::new(api.clone())),
-                    headers: Arc::new(PlatformWords),
-                    external: Some(Arc::new(PlatformSource::new(api))),
+                    store: Arc::new(PlatformStore::new(client.clone())),
+                    headers: Arc::new(PlatformHeaders),
+                    external: Some(Arc::new(PlatformSource::new(client))),
                 }
             }
         }
--- a/components/lab/src/compare.rs
+++ b/components/lab/src/compare.rs
@@ -3,7 +3,7 @@
 //! Differences are taken seed by seed, since both policies then face the same callers and the
 //! variation between seeds does not hide a small effect.
 
-use crate::{fleet::LabPolicy, scenario::Scenario, simulation::run_scenario};
+use crate::{fleet::DaemonPolicy, scenario::Scenario, simulation::run_scenario};
 
 /// Mean of the differences between two policies, taken seed by seed.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -31,7 +31,7 @@
 /// the megabytes sent between data centres.
 pub fn compare_policies(
     scenario: &Scenario,
-    policies: [&LabPolicy; 2],
+    policies: [&DaemonPolicy; 2],
     seeds: std::ops::Range<u64>,
 ) -> [PairedMean; 3] {
     let mut differences = [Vec::new(), Vec::new(), Vec::new()];
--- a/components/lab/src/fleet.rs
+++ b/components/lab/src/fleet.rs
@@ -14,7 +14,7 @@
 
 /// Settings of the daemons in a run.
 #[derive(Clone, Copy, Debug)]
-pub struct LabPolicy {
+pub struct DaemonPolicy {
     /// Placement of requests on servers.
     pub placement: PlacementSettings,
     /// Admission of requests at servers; the number of slots comes from the scenario instead.
@@ -43,7 +43,7 @@
 pub(crate) type DaemonTables = BTreeMap<String, Arc<PlacementTable>>;
 
 /// Creates the servers of a scenario, in the order of its file.
-pub(crate) fn make_servers(scenario: &Scenario, policy: &LabPolicy) -> Vec<SimulatedServer> {
+pub(crate) fn make_servers(scenario: &Scenario, policy: &DaemonPolicy) -> Vec<SimulatedServer> {
     let plans = scenario.servers.iter();
     let server_plans = plans.flat_map(|plan| std::iter::repeat_n(plan, plan.count));
     server_plans
@@ -64,7 +64,7 @@
 pub(crate) fn make_tables(
     servers: &[SimulatedServer],
     daemon: ServerIndex,
-    policy: &LabPolicy,
+    policy: &DaemonPolicy,
 ) -> DaemonTables {
     let mut records: BTreeMap<String, Vec<EndpointRecord>> = BTreeMap::new();
     for (index, server) in servers.iter().enumerate() {
--- a/components/lab/src/lib.rs
+++ b/components/lab/src/lib.rs
@@ -13,7 +13,7 @@
 
 pub use compare::{PairedMean, compare_policies};
 pub use figures::{RouteFigures, RunFigures};
-pub use fleet::LabPolicy;
+pub use fleet::DaemonPolicy;
 pub use scenario::{
     FaultKind, FaultPlan, LoadPlan, RoutePlan, Scenario, ScenarioError, ServerPlan, parse_scenario,
 };
--- a/components/lab/src/simulation.rs
+++ b/components/lab/src/simulation.rs
@@ -19,7 +19,8 @@
 use crate::{
     figures::RunFigures,
     fleet::{
-        CallIndex, DaemonTables, LabPolicy, ServerIndex, SimulatedServer, make_servers, make_tables,
+        CallIndex, DaemonPolicy, DaemonTables, ServerIndex, SimulatedServer, make_servers,
+        make_tables,
     },
     scenario::Scenario,
 };
@@ -66,7 +67,7 @@
 /// State of a run.
 struct FleetSimulation<'a> {
     scenario: &'a Scenario,
-    policy: &'a LabPolicy,
+    policy: &'a DaemonPolicy,
     servers: Vec<SimulatedServer>,
     daemons: Vec<DaemonTables>,
     calls: Vec<SimulatedCall>,
@@ -83,7 +84,7 @@
 
 /// Runs a scenario with a policy and returns the results. With the same seed every policy faces the
 /// same callers.
-pub fn run_scenario(scenario: &Scenario, policy: &LabPolicy, seed: u64) -> RunFigures {
+pub fn run_scenario(scenario: &Scenario, policy: &DaemonPolicy, seed: u64) -> RunFigures {
     let servers = make_servers(scenario, policy);
     let daemons = (0..servers.len()).map(|daemon| make_tables(&servers, daemon, policy)).collect();
     let mut simulation = FleetSimulation {
--- a/components/lab/tests/short_slots.rs
+++ b/components/lab/tests/short_slots.rs
@@ -5,7 +5,7 @@
     admitting::{GuardSettings, QueueOrder},
     placing::{PlacementFactors, PlacementOrder, PlacementSettings},
 };
-use sk_lab::{LabPolicy, Scenario, compare_policies, parse_scenario, run_scenario};
+use sk_lab::{DaemonPolicy, Scenario, compare_policies, parse_scenario, run_scenario};
 use std::time::Duration;
 
 const SCENARIO: &str = include_str!("../../../examples/lab/short-of-slots.toml");
@@ -18,8 +18,8 @@
     Scenario { seconds: 9.0, ..parse_scenario(SCENARIO).expect("valid scenario") }
 }
 
-fn policy() -> LabPolicy {
-    LabPolicy {
+fn policy() -> DaemonPolicy {
+    DaemonPolicy {
         placement: PlacementSettings {
             order: PlacementOrder::Soonest,
             warm_up: Duration::from_secs(3),
@@ -50,7 +50,7 @@
 fn work_times_by_kind() {
     let factors = PlacementFactors { by_work: false, ..PlacementFactors::default() };
     let placement = PlacementSettings { factors, ..policy().placement };
-    let one_work_time = LabPolicy { placement, ..policy() };
+    let one_work_time = DaemonPolicy { placement, ..policy() };
     let [in_goal, _, megabytes] = compare_policies(&scenario(), [&one_work_time, &policy()], SEEDS);
     expect!["in goal +0.0005, MB -1.9"]
         .assert_eq(&format!("in goal {:+.4}, MB {:+.1}", in_goal.mean, megabytes.mean));
@@ -65,7 +65,7 @@
 fn waits_in_own_centre() {
     let placement =
         PlacementSettings { local_wait_per_kilobyte: Duration::ZERO, ..policy().placement };
-    let without_wait = LabPolicy { placement, ..policy() };
+    let without_wait = DaemonPolicy { placement, ..policy() };
     let [in_goal, _, megabytes] = compare_policies(&scenario(), [&without_wait, &policy()], SEEDS);
     expect!["in goal -0.0008, MB -2.2"]
         .assert_eq(&format!("in goal {:+.4}, MB {:+.1}", in_goal.mean, megabytes.mean));
--- a/components/measure/src/load.rs
+++ b/components/measure/src/load.rs
@@ -43,7 +43,7 @@
     /// Requests a second, with one run for each rate.
     pub rates: Vec<u64>,
     /// Length of each run.
-    pub time: Duration,
+    pub run_time: Duration,
     /// Milliseconds of work that a backend server spends on each request.
     pub work_ms: u64,
     /// Number of backend servers, each beside a daemon of its own.
@@ -121,9 +121,9 @@
     let mut figures = Vec::new();
     for rate in &plan.rates {
         let targets = RequestTargets { addresses: direct.clone(), path: path.clone() };
-        figures.push(run_load("direct", *rate, plan.time, targets, &fleet).await?);
+        figures.push(run_load("direct", *rate, plan.run_time, targets, &fleet).await?);
         let targets = RequestTargets { addresses: vec![entry], path: path.clone() };
-        figures.push(run_load("two daemons", *rate, plan.time, targets, &fleet).await?);
+        figures.push(run_load("two daemons", *rate, plan.run_time, targets, &fleet).await?);
     }
     Ok(figures)
 }
--- a/components/measure/src/spread.rs
+++ b/components/measure/src/spread.rs
@@ -22,7 +22,7 @@
     /// Number of measured changes, of one route each.
     pub changes: u64,
     /// Time without changes over which the idle values are measured.
-    pub idle: Duration,
+    pub idle_time: Duration,
 }
 
 /// Results of one fleet size.
@@ -75,8 +75,8 @@
     let mut figures = SpreadFigures { daemons: plan.fleet.daemons, ..SpreadFigures::default() };
     let mut version = fleet.create_services().await?.version;
     fleet.wait_in_force(version, CONVERGENCE_TIMEOUT).await?;
-    tokio::time::sleep(plan.idle / 2).await;
-    measure_idle(&fleet, plan.idle, &mut figures).await?;
+    tokio::time::sleep(plan.idle_time / 2).await;
+    measure_idle(&fleet, plan.idle_time, &mut figures).await?;
     version = measure_changes(&fleet, plan.changes, version, &mut figures).await?;
     version = measure_relay_killed(&mut fleet, version, &mut figures).await?;
     fleet.start_stopped_daemons()?;
--- a/components/proxy/tests/common/mod.rs
+++ b/components/proxy/tests/common/mod.rs
@@ -105,7 +105,7 @@
         let entry = self.daemons[daemon].entry;
         let options = BackendOptions {
             slots: self.plan.slots,
-            work: self.plan.work,
+            work_time: self.plan.work,
             proxy: Some(entry),
             // Announced by the test, not over HTTP.
             announce_interval: Duration::from_secs(3600),
@@ -169,7 +169,7 @@
     }
 
     pub fn served(&self) -> u64 {
-        self.backends.iter().map(BackendHandle::served).sum()
+        self.backends.iter().map(BackendHandle::served_count).sum()
     }
 }
 
--- a/components/proxy/tests/whole_answers.rs
+++ b/components/proxy/tests/whole_answers.rs
@@ -84,7 +84,7 @@
     wait_for("the server to have a part", || fleet.backends[0].counts().begun == 1).await;
     drop(stream);
     wait_for("the server to give up", || fleet.backends[0].counts().running == 0).await;
-    assert_eq!(fleet.backends[0].served(), 0, "a cut upload ran");
+    assert_eq!(fleet.backends[0].served_count(), 0, "a cut upload ran");
 }
 
 /// Creates an HTTP/2 frame of stream 1, or of the connection for settings.
@@ -128,7 +128,7 @@
     wait_for("the server to have a part", || fleet.backends[0].counts().begun == 1).await;
     stream.write_all(&frame(3, 0, &[0; 4])).await.expect("reset");
     wait_for("the server to give up", || fleet.backends[0].counts().running == 0).await;
-    assert_eq!(fleet.backends[0].served(), 0, "a cut upload ran");
+    assert_eq!(fleet.backends[0].served_count(), 0, "a cut upload ran");
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/components/standin/src/backend.rs
+++ b/components/standin/src/backend.rs
@@ -57,11 +57,11 @@
     /// Requests that it announces to run at once.
     pub slots: u32,
     /// Time that each request takes, unless the request asks for another.
-    pub work: Duration,
+    pub work_time: Duration,
     /// Time between announcements.
     pub announce_interval: Duration,
     /// Connections that it keeps open at once; further ones are closed unread.
-    pub connections: u32,
+    pub max_connections: u32,
     /// Load to report at `/load` instead of the real one.
     pub reported_load: Option<f64>,
     /// Address of its daemon for callers, used for nested calls; without it none are made.
@@ -78,9 +78,9 @@
             service: service.to_owned(),
             server: server.to_owned(),
             slots: 12,
-            work: Duration::from_millis(1),
+            work_time: Duration::from_millis(1),
             announce_interval: Duration::from_millis(500),
-            connections: 100,
+            max_connections: 100,
             reported_load: None,
             proxy: None,
         }
@@ -128,7 +128,7 @@
     }
 
     /// Returns the number of requests whose work was finished.
-    pub fn served(&self) -> u64 {
+    pub fn served_count(&self) -> u64 {
         self.state.activity.counts().served
     }
 
@@ -138,7 +138,7 @@
     }
 
     /// Waits until a request crashes the stand-in. A process that runs one then exits.
-    pub async fn crashed(&self) {
+    pub async fn wait_crashed(&self) {
         self.state.activity.wait_crashed().await;
     }
 
@@ -183,7 +183,7 @@
             _ = stopped.wait_for(|stop| *stop) => break,
         };
         let Ok((stream, _)) = accepted else { continue };
-        let Some(open) = state.activity.open_connection(state.options.connections) else {
+        let Some(open) = state.activity.open_connection(state.options.max_connections) else {
             continue;
         };
         let state = state.clone();
@@ -235,7 +235,7 @@
     let running = activity.begin_request(plan.tag.as_deref());
     let (parts, body) = request.into_parts();
     let body = body.collect().await.map_err(|_| FaultError::Dropped)?.to_bytes();
-    let work_time = plan.work.unwrap_or(options.work);
+    let work_time = plan.work.unwrap_or(options.work_time);
     if plan.fault == RequestFault::Crash {
         // The crash has a task of its own, since it has to come even when the caller closes the
         // connection.
--- a/src/bin/sk-backend.rs
+++ b/src/bin/sk-backend.rs
@@ -47,8 +47,8 @@
     let args = BackendArgs::parse_args_default_or_exit();
     let options = BackendOptions {
         slots: args.slots,
-        work: Duration::from_millis(args.work_ms),
-        connections: args.connections,
+        work_time: Duration::from_millis(args.work_ms),
+        max_connections: args.connections,
         reported_load: args.reported_load,
         proxy: args.proxy.map(|proxy| proxy.parse()).transpose()?,
         ..BackendOptions::new(
@@ -63,9 +63,9 @@
     println!("backend {}", backend.address());
     tokio::select! {
         _ = terminate.recv() => (),
-        () = backend.crashed() => std::process::exit(CRASH_EXIT_CODE),
+        () = backend.wait_crashed() => std::process::exit(CRASH_EXIT_CODE),
     }
-    let served = backend.served();
+    let served = backend.served_count();
     backend.stop().await;
     println!("served {served}");
     Ok(())
--- a/src/bin/sk-lab.rs
+++ b/src/bin/sk-lab.rs
@@ -6,7 +6,7 @@
 use anyhow::Context;
 use gumdrop::Options;
 use sk_daemon::{server_limits, table_tuning};
-use sk_lab::{LabPolicy, Scenario, compare_policies, parse_scenario, run_scenario};
+use sk_lab::{DaemonPolicy, Scenario, compare_policies, parse_scenario, run_scenario};
 
 #[derive(Debug, Options)]
 struct LabArgs {
@@ -90,10 +90,10 @@
 }
 
 /// Reads the part of a daemon's settings that the simulation uses.
-fn read_policy(file: &str) -> anyhow::Result<LabPolicy> {
+fn read_policy(file: &str) -> anyhow::Result<DaemonPolicy> {
     let settings = sk_settings::read_settings(Path::new(file))?;
     let tuning = table_tuning(&settings);
-    Ok(LabPolicy {
+    Ok(DaemonPolicy {
         placement: tuning.placement,
         guard: server_limits(&settings).guard,
         free_moves: tuning.retry.free_moves,
--- a/src/bin/sk-measure.rs
+++ b/src/bin/sk-measure.rs
@@ -117,7 +117,7 @@
         let plan = SpreadPlan {
             fleet: make_fleet_plan(daemons, args.settings.clone()),
             changes: args.changes,
-            idle: Duration::from_secs(args.idle),
+            idle_time: Duration::from_secs(args.idle),
         };
         print_json_line(&measure_spread(&plan).await?)?;
         if !args.no_baseline {
@@ -144,7 +144,7 @@
 async fn run_load(args: &LoadArgs) -> anyhow::Result<()> {
     let plan = LoadPlan {
         rates: parse_numbers(&args.rates)?,
-        time: Duration::from_secs(args.seconds),
+        run_time: Duration::from_secs(args.seconds),
         work_ms: args.work_ms,
         servers: args.servers,
     };
--- a/tests/nested_calls.rs
+++ b/tests/nested_calls.rs
@@ -8,7 +8,7 @@
 use hyper::Method;
 use serde_json::{Value, json};
 use sk_adapter_standin::{
-    AnswerMode, CallerRequest, ObjectServer, WordServer, send_call, send_heartbeat,
+    AnswerMode, BackendServer, CallerRequest, StoreServer, send_heartbeat, send_request,
 };
 
 const HOST: &str = "board.example";
@@ -58,7 +58,7 @@
         attempt,
         deadline: Duration::from_secs(2),
     };
-    send_call(entry.parse().expect("an address"), &call).await.expect("an answer").status
+    send_request(entry.parse().expect("an address"), &call).await.expect("an answer").status
 }
 
 /// A confirmation needs a document, but no server of the document service is left, so the server
@@ -67,12 +67,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn nested_call_logged() {
     let directory = TestDirectory::new("failed_calls");
-    let store = ObjectServer::start().await.expect("a store");
+    let store = StoreServer::start().await.expect("a store");
     store.put("config", "main", configuration());
     let address = store.address().to_string();
     let entry = start(&directory, "d1", "docs", &address);
     let server_daemon = start(&directory, "d2", "board", &address);
-    let server = WordServer::start("s1").await.expect("a server");
+    let server = BackendServer::start("s1").await.expect("a server");
     let beat = json!({
         "service": "board", "address": server.address().to_string(), "zone": "a", "version": "v1",
         "slots": 4, "state": "ready", "warm_up_left": 0, "sequence": 1, "born": 1,
@@ -98,7 +98,7 @@
     );
 
     // A server that abandons its nested call answers before the daemon sees the end of that call.
-    server.set_work(Duration::from_millis(600));
+    server.set_work_time(Duration::from_millis(600));
     let (own, call) = (proxy.clone(), server_daemon.address("proxy"));
     let request = tokio::spawn(async move { send(&own, "/board/confirm", "a2").await });
     tokio::time::sleep(Duration::from_millis(300)).await;
