--- a/components/claim/src/client.rs
+++ b/components/claim/src/client.rs
@@ -70,7 +70,9 @@
     /// the caller of this function stops waiting.
     pub async fn release(&self, key: &ClaimKey, attempt: AttemptId) {
         if self.submit(ClaimOperation::Release { key: key.clone(), attempt }).await.is_err() {
-            log::info!("claim: a claim is not released.");
+            log::info!(
+                "claim: a claim is not released; a resend may be answered with \"unknown\"."
+            );
         }
     }
 
@@ -92,7 +94,9 @@
             .try_send(QueuedOperation { operation, reply })
             .is_err()
         {
-            log::info!("claim: an outcome is not recorded: too many claims are waiting.");
+            log::info!(
+                "claim: an outcome or release is not recorded: too many claims are waiting."
+            );
         }
     }
 
--- a/components/claim/src/partition.rs
+++ b/components/claim/src/partition.rs
@@ -29,8 +29,8 @@
     Release { key: ClaimKey, attempt: AttemptId },
 }
 
-/// Claims by key. A claim in the tail overrides one in a chunk; a released one overrides it as
-/// absent.
+/// Claims by key. A claim in the tail overrides one in a chunk. Releasing a claim removes it from
+/// the tail only; in a chunk it remains until it expires.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LiveClaims {
     pub(crate) head: PartitionHead,
@@ -115,8 +115,8 @@
                 self.head.tail.push(ClaimEntry { state, ..granted });
             }
             // In a chunk the entry remains, and with it the grant: the next attempt of the caller
-            // is then answered with "unknown", which is literally true and never lets the request
-            // run twice.
+            // is then answered with "unknown" although nothing ran, but the request never runs
+            // twice.
             None => self.head.tail.retain(|entry| entry.key != *key),
         }
         ClaimVerdict::Granted
--- a/components/decide/src/admitting.rs
+++ b/components/decide/src/admitting.rs
@@ -424,9 +424,9 @@
     }
 
     /// Returns the slots that long work may take: its share, or more while short work needs fewer,
-    /// but always one less than there are, and no more than the link carries. The one slot kept
-    /// free lets the first short request after a pause run at once, rather than wait for a document
-    /// to end.
+    /// but always one less than there are, and no more than the link carries; at least one in any
+    /// case. The one slot kept free lets the first short request after a pause run at once, rather
+    /// than wait for a document to end.
     fn long_limit(&self, now: Duration) -> u32 {
         let slots = self.slots(now);
         let share = self.settings.long_share_of(slots);
--- a/components/decide/src/admitting/queue.rs
+++ b/components/decide/src/admitting/queue.rs
@@ -1,4 +1,7 @@
 //! A queue that is fair between teams, and within a team between callers.
+//!
+//! In the order of arrival, a caller that sends in a loop would take nearly all slots, and the
+//! others would lose as large a part of their requests as the one that causes it.
 
 use std::collections::VecDeque;
 
--- a/components/decide/src/admitting/urgent.rs
+++ b/components/decide/src/admitting/urgent.rs
@@ -18,7 +18,8 @@
 
 impl AdmissionGuard {
     /// Removes and returns the least urgent of the waiting requests, not run, if the queue is full
-    /// and a more urgent one comes. To be called before [`AdmissionGuard::offer`].
+    /// and a more urgent one comes. A request that may wait for a limited time only takes nobody's
+    /// place, since it can go elsewhere. To be called before [`AdmissionGuard::offer`].
     ///
     /// A burst of long work can fill the queue. A call that another request waits for would then be
     /// refused, and the work that its caller has done already would be lost with it.
@@ -135,8 +136,8 @@
         match call.stage {
             CallStage::Running(since) => {
                 let usual = self.work_time(call.work, call.class, now);
-                // A request that has outlasted its estimate has as much time before it as one on
-                // average.
+                // At least a quarter of the estimate is taken to be left: a request that has
+                // outlasted it need not be about to end, and its slot must not count as free.
                 let left = usual.saturating_sub(now.saturating_sub(since));
                 left.max(usual / 4)
             }
--- a/components/decide/src/fetch_gate.rs
+++ b/components/decide/src/fetch_gate.rs
@@ -3,9 +3,11 @@
 //! Hundreds of daemons can return at once after a failure and all fetch the whole configuration.
 //! Served together each gets a sliver of the link, all time out and all start again, so that none
 //! ever finishes. The gate serves a few to their end and sends the others away, each with a time of
-//! its own to return after those already assigned. A time drawn from a window that grows with the
-//! number sent away takes more than twice the ideal time, since that number counts those who return
-//! in vain a second time.
+//! its own to return after those already assigned.
+//!
+//! Rejected alternative: a time drawn from a window that grows with the number sent away. That
+//! number counts those who return in vain a second time, and all are served only after more than
+//! twice the ideal time.
 
 use std::time::Duration;
 
--- a/components/decide/src/placing/gauge.rs
+++ b/components/decide/src/placing/gauge.rs
@@ -13,11 +13,12 @@
 /// Bits that the load takes in a packed hint.
 const HINT_BITS: u32 = 8;
 /// Divisor of the weight of one request in the failure rate. With this value two failures in a row
-/// count as much as half a goal of waiting, and ten successes clear them.
+/// make a rate of 0.3, a penalty of three tenths of the goal, and ten successes bring it below
+/// 0.05; one failure makes 0.17, at which an endpoint still counts as healthy.
 const FAILURE_WEIGHT: u32 = 6;
 /// Factor on the expected work up to which a missing answer says nothing about the transit time.
 /// Log-normal service times whose standard deviation is 0.8 of their mean exceed it in one of
-/// twenty cases.
+/// thirty-six cases.
 const SILENCE_FACTOR: u32 = 3;
 
 /// Counters of one incarnation of an endpoint. All are independent and relaxed: a value that is
--- a/components/decide/src/placing/mean.rs
+++ b/components/decide/src/placing/mean.rs
@@ -1,4 +1,7 @@
 //! Running means of times and sizes, and the decay of times without new samples.
+//!
+//! An endpoint that looks slow gets no requests, hence no samples. Without the decay it would look
+//! slow for good.
 
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 use std::time::Duration;
--- a/components/decide/src/placing/settings.rs
+++ b/components/decide/src/placing/settings.rs
@@ -39,8 +39,8 @@
     pub hint_weight: f64,
     /// Load that a refusal counts as, as a hint. Default 0.5.
     pub refusal_load: f64,
-    /// Failures in a row at which an endpoint is ejected. Default 5: at a normal failure rate of 5
-    /// %, five in a row come by chance only once in hours.
+    /// Failures in a row at which an endpoint is ejected. Default 5: at a normal failure rate of
+    /// 5 %, five in a row come by chance once in three million requests, which take a daemon hours.
     pub failure_limit: u32,
     /// Failures that an unreachable endpoint counts as. Default 3, so that two refused connections
     /// suffice.
--- a/components/decide/src/placing/soonest.rs
+++ b/components/decide/src/placing/soonest.rs
@@ -9,22 +9,24 @@
 //! by urgency.
 //!
 //! The endpoint with the least cost is chosen. The cost is the expected time until the answer (wait
-//! for a slot, transit and work) plus penalties, expressed as time, and a small random part. The
-//! penalties rank endpoints in this order:
+//! for a slot, transit and work) plus penalties, expressed as time, and a small random part.
+//!
+//! Three penalties are larger than the goals and waits in use, and rank endpoints in this order:
 //!
 //! 1. By whether the answer is expected safely within the goal (`MISSED_GOAL_PENALTY`). An endpoint
 //!    that is expected to miss the goal, or that often fails, gets no request while another will
-//!    meet it.
+//!    meet it, even one of another region.
 //! 2. By region (`OTHER_REGION_PENALTY`). A request does not leave the region to save a wait.
 //! 3. By data centre, where the answer is in time (`OTHER_CENTRE_IN_TIME_PENALTY`). Bytes do not
 //!    cross between data centres for an answer that would be in time without it.
-//! 4. By failures beyond those of the peers (the goal, or `FAILURE_PENALTY`). A quick server does
-//!    not attract requests that it is likely to fail.
-//! 5. By data centre, where the answer is late (`OTHER_CENTRE_LATE_LONG_PENALTY`,
-//!    `OTHER_CENTRE_LATE_PENALTY`). A late answer crosses between data centres only where it comes
-//!    sooner by more than the crossing costs.
 //!
-//! Between endpoints that are alike in these, the time until the answer decides.
+//! Two others are about as large as the times, and are weighed against these and each other:
+//!
+//! - Failures beyond those of the peers (their rate times the goal, or times `FAILURE_PENALTY`). A
+//!   quick server does not attract requests that it is likely to fail.
+//! - Another data centre, where the answer is late (`OTHER_CENTRE_LATE_LONG_PENALTY` or
+//!   `OTHER_CENTRE_LATE_PENALTY`). A late answer crosses between data centres only where it comes
+//!   sooner by more than the crossing costs.
 
 use std::time::Duration;
 
@@ -34,10 +36,10 @@
 use crate::{WorkClass, WorkKey};
 
 /// Penalty of another data centre of the same region while the answer is expected within its goal.
-/// It is more than any goal, so that the own data centre wins wherever it meets the goal too, and
-/// bytes cross between data centres only where callers gain by it.
+/// It is more than any goal in use, so that the own data centre wins wherever it meets the goal
+/// too, and bytes cross between data centres only where callers gain by it.
 const OTHER_CENTRE_IN_TIME_PENALTY: Duration = Duration::from_secs(5);
-/// Penalty of another data centre of the same region where no goal is met or set: some
+/// Penalty of another data centre of the same region where the goal is missed or none is set: some
 /// round trips, since an answer that comes sooner by more than these is worth the crossing.
 const OTHER_CENTRE_LATE_PENALTY: Duration = Duration::from_millis(15);
 /// The same penalty for long work. Its answers are large, and one that is late either way is as
@@ -59,9 +61,9 @@
 /// its failure rate. It is about the whole time that a caller has for an answer, since a failed
 /// request has to be run again or is lost. For a request with a goal, the goal is the penalty.
 const FAILURE_PENALTY: Duration = Duration::from_secs(2);
-/// Highest failure rate at which an endpoint counts as healthy: that of one failure a moment ago.
-/// An endpoint that fails more often never counts as in time, so that it is not chosen for being
-/// near.
+/// Highest failure rate, beyond that of the peers, at which an endpoint counts as healthy: just
+/// above that of one failure a moment ago. An endpoint that fails more often never counts as in
+/// time, so that it is not chosen for being near.
 const MAX_HEALTHY_FAILURE_RATE: f64 = 0.2;
 /// Failure rate from which a free slot says nothing: a server that fails at once always has one,
 /// and would attract the requests that the others have no slot for. It still gets some requests
--- a/components/decide/src/quarantine.rs
+++ b/components/decide/src/quarantine.rs
@@ -6,9 +6,10 @@
 //!
 //! A crash makes suspects of all requests in flight, since nothing tells them apart yet. A suspect
 //! runs again only *alone* on its server, as a trial. A server that dies under a trial convicts the
-//! request: nothing else was running, so no innocent request can be convicted, however many crashes
-//! it was near. A success after the crash clears it. A convicted request is refused for a set time;
-//! then its next run is a trial again, which harms no other request.
+//! request, and so does a second crash at which it was alone by chance: nothing else was running,
+//! so a request is not convicted for what another one did, however many crashes it was near. A
+//! success clears a request of earlier crashes other than trials. A convicted request is refused
+//! for a set time; then its next run is a trial again, which harms no other request.
 //!
 //! Evidence is a grow-only set with a total order, so tables of two daemons merge to the same table
 //! in any order and any number of times.
--- a/components/decide/src/quarantine/successes.rs
+++ b/components/decide/src/quarantine/successes.rs
@@ -1,11 +1,15 @@
 //! Which requests succeeded lately, in fixed memory.
+//!
+//! A frequent request is in flight at a crash by sheer frequency, and has often succeeded again by
+//! the time that the crash is reported. The cache then clears it at once, so that its copies do not
+//! each wait for an empty server.
 
 use std::time::Duration;
 
 use crate::quarantine::Fingerprint;
 
-/// Cells of the cache, a power of two; they take 24 KB. A request that is in flight at a crash by
-/// sheer frequency is among the most frequent, and those keep their cells.
+/// Cells of the cache, a power of two; they take 24 KB. The most frequent requests are the ones
+/// that matter here, and those keep their cells.
 const CELLS: usize = 1024;
 
 /// A direct-mapped cache from request to its last success. A collision drops the older one, whose
--- a/components/decide/src/transfer_queue.rs
+++ b/components/decide/src/transfer_queue.rs
@@ -65,7 +65,7 @@
     }
 
     /// Returns whether a body may send its next bytes at `now`. A body without a permit gets one if
-    /// it is the first that waits and few enough send.
+    /// it is the first that waits and few enough send; until then it waits in the order of arrival.
     pub fn request_permit(&mut self, id: TransferId, now: Duration) -> TransferPermit {
         self.revoke_stalled(now);
         let Some(transfer) = self.open.get(id) else { return TransferPermit::Granted };
@@ -132,7 +132,8 @@
                 transfer.sent_at = None;
             }
         }
-        // A body whose receiver stopped while it waited does not ask again when it is notified.
+        // A body whose receiver stopped while it waited does not ask again when it is notified, and
+        // must not keep the others waiting.
         let first = self.waiting.front().and_then(|first| self.open.get_mut(*first));
         if let Some(first) = first
             && first.offered_at.is_some_and(|at| now.saturating_sub(at) >= STALL_TIMEOUT)
--- a/components/decide/src/transit_time.rs
+++ b/components/decide/src/transit_time.rs
@@ -18,8 +18,9 @@
 /// Identifies the clock of one process of a daemon.
 pub type ClockId = u64;
 
-/// Largest drift between two clocks, in millionths: quartz clocks are within a hundred of true
-/// time. A least difference that could never rise would count the drift as time in transit.
+/// Largest drift between two clocks, in millionths: each quartz clock is within a hundred
+/// millionths of true time. A least difference that could never rise would count the drift as time
+/// in transit.
 const DRIFT_PER_MILLION: i64 = 200;
 /// Clocks that are remembered: several times the daemons of a large fleet, since each restart adds
 /// one. At the limit all are forgotten and learned again from the next message of each.
--- a/components/decide/tests/cold_restart.rs
+++ b/components/decide/tests/cold_restart.rs
@@ -7,7 +7,7 @@
 use model::{Policy, Scenario, millis, short_load};
 
 /// All servers of a service restart together and come back with empty caches, up to six times as
-/// slow the more they run at once. A full load at once keeps each call past its deadline.
+/// slow the more they run at once. Under a full load at once, calls go on missing their deadlines.
 #[test]
 fn all_cold() {
     let mut scenario = Scenario::default();
--- a/components/member/src/assessment.rs
+++ b/components/member/src/assessment.rs
@@ -70,8 +70,9 @@
     ///
     /// - a quorum of observers that this daemon reaches, because a single one may err;
     /// - half of the neighbours within reach, because a few instances of one rack fail together;
-    /// - a quorum from the same data centre, because silence between data centres is as often a
-    ///   network cut, which must not erase the other side;
+    /// - a quorum from the same data centre (or all of its daemons within reach, if these are
+    ///   fewer), because silence between data centres is as often a network cut, which must not
+    ///   erase the other side;
     /// - more than half of the data centre within reach, so that the smaller part of a split data
     ///   centre never removes the larger one.
     ///
--- a/components/member/src/heartbeat.rs
+++ b/components/member/src/heartbeat.rs
@@ -83,8 +83,8 @@
         let is_stale = match known {
             Some(known) if heartbeat.started_at < known.started_at => true,
             Some(known) if heartbeat.started_at == known.started_at => {
-                // A drain stays in force until the process ends, even if its heartbeat arrives
-                // late.
+                // A draining heartbeat is accepted even if it arrives late, since a process that
+                // drains is not expected to accept work again.
                 known.has_left || (heartbeat.sequence <= known.sequence && !is_draining)
             }
             _ => self.is_replaced(heartbeat, now),
--- a/components/member/src/lib.rs
+++ b/components/member/src/lib.rs
@@ -1,5 +1,8 @@
 //! Membership of daemons and backend servers: announcements, liveness and draining.
 //!
+//! A daemon that does not know of a drain or a crash sends new work to a server that refuses it or
+//! no longer exists; one that wrongly counts another as gone takes a running server out of use.
+//!
 //! Keeps what one daemon knows about the others, merged from records that daemons exchange by
 //! gossip. The types are pure state without sockets or a clock, so that every rule can be tested
 //! with simulated time and message loss.
--- a/components/member/src/monitor.rs
+++ b/components/member/src/monitor.rs
@@ -154,7 +154,7 @@
     }
 
     /// Evaluates all timers and suspicions, and returns the actions that are due. It has to be
-    /// called about every 100 ms; a longer gap counts as a pause of this process.
+    /// called about every 100 ms; a gap above `pause_threshold` counts as a pause of this process.
     pub fn tick(&mut self, snapshot: &MemberSnapshot, now: Duration) -> Vec<MonitorEvent> {
         let gap = now.saturating_sub(self.last_tick.replace(now).unwrap_or(now));
         if gap > self.options.pause_threshold {
--- a/components/member/src/record.rs
+++ b/components/member/src/record.rs
@@ -12,7 +12,8 @@
 /// Start of a daemon's process in milliseconds since the Unix epoch; a later process has a greater
 /// value.
 pub type Incarnation = u64;
-/// Identifier of a backend server's process, drawn at its start and never used by two processes.
+/// Identifier of a backend server's process: the one that the server announces, or its name and
+/// start, such as `board:1700000000000`. Processes of one name that report no start share it.
 pub type ServerId = String;
 
 /// Participation of a daemon in the fleet.
--- a/components/member/src/table.rs
+++ b/components/member/src/table.rs
@@ -171,8 +171,8 @@
     /// announce itself again, see [`MemberTable::readmit_server`].
     pub fn withdraw_endpoints(&mut self) -> bool {
         let endpoints = self.own().endpoints.clone();
-        // Only the servers listed before this pause are added, so the set holds no more than the
-        // servers of one daemon.
+        // Each pause adds at most the servers that are listed. A server that never announces itself
+        // again stays in the set until this daemon ends.
         self.withdrawn_servers.extend(endpoints.iter().map(|endpoint| endpoint.server.clone()));
         self.set_endpoints(Vec::new())
     }
--- a/components/member/tests/liveness_monitor.rs
+++ b/components/member/tests/liveness_monitor.rs
@@ -81,6 +81,7 @@
     }
 }
 
+// Two observers of one data centre agree, which is the quorum: the silent daemon counts as gone.
 #[test]
 fn second_observer() {
     let (mut monitor, table) = monitor_of(5);
--- a/components/member/tests/overlay_links.rs
+++ b/components/member/tests/overlay_links.rs
@@ -31,6 +31,8 @@
     records.iter().map(|record| record.proxy.clone()).collect()
 }
 
+// Each link carries heartbeats. Without a bound on the links of a daemon, its control traffic would
+// grow with the fleet.
 #[test]
 fn few_links() {
     for len in [2, 3, 9, 10, 50, 200, 780] {
@@ -45,6 +47,7 @@
     }
 }
 
+// A rumor passes one link per step. With long paths, a drain or crash would become known too late.
 #[test]
 fn small_diameter() {
     let snapshot = snapshot_of(fleet(780));
--- a/components/member/tests/record_digest.rs
+++ b/components/member/tests/record_digest.rs
@@ -17,6 +17,8 @@
     table
 }
 
+// One record of 780 differs. Only the records of its bucket are sent, and both tables are equal
+// afterwards.
 #[test]
 fn differing_buckets() {
     let mut first = own_table_with("own", 780);
@@ -33,6 +35,8 @@
     assert!(first.digest().differing_buckets(&sent).is_empty());
 }
 
+// A daemon that joins merges the records of all buckets of a peer, whatever their status, and has
+// the same digest afterwards.
 #[test]
 fn all_records_shared() {
     let mut table = own_table_with("own", 50);
--- a/components/member/tests/record_merge.rs
+++ b/components/member/tests/record_merge.rs
@@ -72,6 +72,8 @@
         prop_assert_eq!(table.records(), second.records());
     }
 
+    // A record of a lower rank must never replace one of a higher rank, or a late copy would undo
+    // a drain.
     #[test]
     fn rank_grows(records in prop::collection::vec(any_record(), 1..30)) {
         let mut table = own_table();
@@ -88,6 +90,7 @@
     }
 }
 
+// Keeping the record that arrived last makes the result depend on the order of arrival.
 #[test]
 fn naive_differs() {
     let old = record("a", 1, 0, MemberStatus::Alive);
@@ -166,6 +169,8 @@
     assert!(!table.refute(&MemberSuspicion { proxy: "c".to_owned(), ..suspicion(9, false) }));
 }
 
+// Only the current record of another daemon can be declared gone, and only a new process or a
+// greater sequence replaces it.
 #[test]
 fn gone_declared() {
     let mut table = own_table();
--- a/components/member/tests/rumor_queue.rs
+++ b/components/member/tests/rumor_queue.rs
@@ -20,6 +20,8 @@
     MemberRumor::Record(Arc::new(record(proxy, 1, sequence, MemberStatus::Alive)))
 }
 
+// A rumor is not sent back to the link it came from, and a newer one about the same daemon replaces
+// one that waits.
 #[test]
 fn sent_once() {
     let (b, c) = ("b".to_owned(), "c".to_owned());
--- a/components/member/tests/server_heartbeats.rs
+++ b/components/member/tests/server_heartbeats.rs
@@ -68,6 +68,8 @@
     assert_eq!(filter.classify(&ready("a", 1_500, 9), at(5)), HeartbeatStatus::Stale);
 }
 
+/// Servers are restarted under new names for ever. Without a bound, the processes remembered would
+/// fill the memory.
 #[test]
 fn memory_bounded() {
     let mut filter = HeartbeatFilter::default();
