--- a/components/daemon/src/claims.rs
+++ b/components/daemon/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims on requests that may run only once, for the guard.
+//! Claims on requests with an `Idempotency-Key`, which may run only once, for the guard.
 //!
 //! Before such a request runs, the guard claims it in the platform, so that a resend through
 //! another daemon does not run it again.
@@ -45,7 +45,7 @@
         match outcome {
             ClaimOutcome::Ran { status } => self.claim_client.record_status(&name, attempt, status),
             ClaimOutcome::NotRun => self.claim_client.release(&name, attempt).await,
-            // The claim remains without an outcome, and a resend is answered accordingly.
+            // The claim remains without an outcome, and a resend is answered with "unknown".
             ClaimOutcome::Unknown => (),
         }
     }
--- a/components/daemon/src/contacts.rs
+++ b/components/daemon/src/contacts.rs
@@ -1,6 +1,7 @@
 //! Contacts stored in the platform, one object per data centre.
 //!
-//! A contact is the control address of a daemon, through which daemons of other data centres join.
+//! A contact is the control address of a daemon, by which a daemon that starts without any other
+//! address finds the fleet.
 
 use std::net::SocketAddr;
 
--- a/components/daemon/src/daemon.rs
+++ b/components/daemon/src/daemon.rs
@@ -245,8 +245,9 @@
         let end = Instant::now() + self.times.leave + self.times.drain;
         self.guard_context.drain_clock.begin_drain(end, self.times.drain);
         self.forward.announce_shutdown();
-        // The local backend server keeps running, and other daemons use it until callers have left:
-        // while a third of a fleet stops, callers would notice the loss of its servers.
+        // The local backend server keeps running, and other daemons use it until callers have left.
+        // If it were withdrawn at once while a third of a fleet stops, callers would notice the
+        // loss of the servers.
         let notice = self.times.leave.min(GUARD_LEAVE_NOTICE);
         tokio::time::sleep(self.times.leave - notice).await;
         self.members.update(|table| table.set_status(MemberStatus::Leaving), |changed| *changed);
@@ -349,6 +350,8 @@
     }
 }
 
+/// Returns the record by which other daemons know this one, with the addresses at which they reach
+/// it.
 fn own_record(settings: &DaemonSettings, addresses: DaemonAddresses) -> MemberRecord {
     MemberRecord {
         proxy: settings.instance.name.clone(),
@@ -390,6 +393,7 @@
     }
 }
 
+/// Starts the control thread.
 fn run_spread(
     settings: &DaemonSettings,
     parts: &DaemonParts,
--- a/components/daemon/src/metrics.rs
+++ b/components/daemon/src/metrics.rs
@@ -18,7 +18,7 @@
 //! | `requests.not_run` | counter | requests that did not run |
 //! | `requests.unknown` | counter | requests of which it is unknown whether they ran |
 //! | `requests.refused.<reason>` | counter | answers that the daemon gave itself, by reason |
-//! | `requests.retries` | counter | attempts after the first |
+//! | `requests.retries` | counter | retries, which draw on the retry budget |
 //! | `requests.retries_denied` | counter | failed attempts that were not retried |
 //! | `requests.cut_answers` | counter | answers that ended in an error after their head |
 
--- a/components/daemon/src/notices.rs
+++ b/components/daemon/src/notices.rs
@@ -1,7 +1,7 @@
 //! Exchanges evidence about requests that crash servers with other daemons.
 //!
-//! Without it, a request that crashes servers would have to crash one at each daemon before that
-//! daemon recognises it.
+//! Without it, each daemon would recognise a request that crashes servers only after crashes of its
+//! own server.
 
 use std::{sync::Arc, time::Duration};
 
--- a/components/daemon/src/port.rs
+++ b/components/daemon/src/port.rs
@@ -261,6 +261,7 @@
         publish_endpoints(&self.servers, &self.members);
     }
 
+    /// Returns all known daemons, and since when each is unreachable from here, for reports.
     fn known_proxies(&self) -> BTreeMap<ProxyId, KnownProxy> {
         let known = |record: &MemberRecord| KnownProxy {
             data_centre: record.data_centre.clone(),
--- a/components/daemon/src/source.rs
+++ b/components/daemon/src/source.rs
@@ -28,6 +28,7 @@
     ) -> Result<WatchResult, SourceError> {
         let began = Instant::now();
         let newer = self.ledger.wait_newer(held, timeout).await.map_err(ledger_to_source_error)?;
+        // A wait without a newer version has read the source until its end.
         let read_at = if newer.is_none() { began + timeout } else { began };
         Ok(WatchResult { newer, read_at })
     }
--- a/components/daemon/src/team_records.rs
+++ b/components/daemon/src/team_records.rs
@@ -3,7 +3,7 @@
 use sk_ops::{OpsError, TeamRecord};
 use sk_store::{SharedStore, StoreError};
 
-/// Largest number of attempts of one write; each one repeats after a concurrent write of another
+/// Largest number of attempts of one write, which is repeated after a concurrent write of another
 /// manager or a lost answer.
 const MAX_WRITE_ATTEMPTS: usize = 5;
 /// Milliseconds after which a manager may retry while the platform is unavailable.
--- a/components/ops/src/announcement.rs
+++ b/components/ops/src/announcement.rs
@@ -87,7 +87,8 @@
     }
 }
 
-/// Returns the refusal of an announcement or heartbeat that concerns another instance.
+/// Returns the refusal of an announcement or heartbeat that comes from another instance or names an
+/// address there.
 fn foreign_instance_error(what: &str) -> OpsError {
     OpsError::Forbidden { reason: format!("{what} another instance; allowed: this one") }
 }
--- a/components/ops/src/error.rs
+++ b/components/ops/src/error.rs
@@ -16,7 +16,8 @@
     /// The token is missing or unknown.
     #[error("the token is missing or not known")]
     Unauthorised,
-    /// The token does not permit the call, or the call comes from where it is not accepted.
+    /// The token does not permit the call, the call concerns another instance, or the platform's
+    /// operator writes the configuration in place of this fleet.
     #[error("{reason}")]
     Forbidden {
         /// Why the call is not permitted.
@@ -30,7 +31,7 @@
         conflicting: Vec<ChangeRecord>,
     },
     /// The configuration would be invalid.
-    #[error("the configuration would be at fault")]
+    #[error("the configuration would be invalid")]
     Invalid {
         /// All faults found.
         faults: Vec<ConfigFault>,
@@ -48,7 +49,7 @@
         record: Box<ChangeRecord>,
     },
     /// The platform is unavailable; the call had no effect and will have none.
-    #[error("not accepted; come back at {retry_at}")]
+    #[error("not accepted; retry at {retry_at}")]
     NotAccepted {
         /// When to retry, in milliseconds since the Unix epoch on the daemon's clock.
         retry_at: UnixMillis,
@@ -77,7 +78,7 @@
 }
 
 impl OpsError {
-    /// Converts a refusal of the ledger; `now` is the start of a wait before a retry.
+    /// Converts a refusal of the ledger. The time of a retry is counted from `now`.
     pub fn from_submit(err: SubmitError, now: UnixMillis) -> Self {
         match err {
             SubmitError::Conflict { conflicting } => Self::Conflict { conflicting },
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Converts a failed read of the ledger; `now` is the start of a wait before a retry.
+    /// Converts a failed read of the ledger. The time of a retry is counted from `now`.
     pub fn from_ledger(err: &LedgerError, now: UnixMillis) -> Self {
         match err {
             LedgerError::Unavailable { retry_after } => {
--- a/components/ops/src/port.rs
+++ b/components/ops/src/port.rs
@@ -55,7 +55,8 @@
     /// Returns the state of this daemon, without a call to the platform.
     fn state(&self) -> StateDump;
 
-    /// Returns the IPs of the daemon's instance, without loopback.
+    /// Returns the IPs that other instances reach the daemon by. Loopback addresses always count as
+    /// the instance's own and need not be among them.
     fn own_ips(&self) -> Vec<IpAddr>;
 
     /// Returns the version in force, `None` while the daemon must not receive requests.
--- a/components/ops/src/server.rs
+++ b/components/ops/src/server.rs
@@ -86,7 +86,7 @@
     Ok(api)
 }
 
-/// Returns the bearer_token token of a request.
+/// Returns the bearer token of a request.
 fn bearer_token(request: &OpsRequest) -> Result<&str, OpsError> {
     let header = request.request.headers().get(header::AUTHORIZATION);
     let token = header.and_then(|value| value.to_str().ok()?.strip_prefix("Bearer "));
--- a/components/ops/src/wire.rs
+++ b/components/ops/src/wire.rs
@@ -169,7 +169,7 @@
     pub unknown: u64,
     /// Answers that the daemon gave itself, by reason.
     pub refused: BTreeMap<String, u64>,
-    /// Attempts after the first.
+    /// Retries, which draw on the retry budget.
     pub retries: u64,
     /// Whole retries left in the retry budget of each service.
     pub retries_left: BTreeMap<ServiceName, u64>,
--- a/components/ops/tests/bad_input.rs
+++ b/components/ops/tests/bad_input.rs
@@ -53,7 +53,11 @@
     #![proptest_config(ProptestConfig::with_cases(200))]
 
     #[test]
-    fn any_call_is_refused(call in 0..BODY_CALLS.len(), headers in any_headers(), body in any_body()) {
+    fn any_call_is_refused(
+        call in 0..BODY_CALLS.len(),
+        headers in any_headers(),
+        body in any_body(),
+    ) {
         let (method, path) = BODY_CALLS[call];
         let answer = SERVER.call_raw(method, path, &headers, &body);
         prop_assert!((400..500).contains(&answer.status), "{:?}", answer);
--- a/components/proxy/src/attempt.rs
+++ b/components/proxy/src/attempt.rs
@@ -1,6 +1,7 @@
-//! Attempts to get a request answered: chooses an endpoint, sends, evaluates the answer and
-//! decides on a retry. A request is sent again only if it certainly did not run or may run twice,
-//! and if the retry budget allows it, so that failures do not multiply the load.
+//! Attempts to get a request answered: chooses an endpoint, sends, evaluates the answer and decides
+//! on a retry. A request is sent again only if it certainly did not run or may run twice, and,
+//! apart from a few moves after attempts that no server accepted, only if the retry budget allows
+//! it, so that failures do not multiply the load.
 
 use std::{sync::Arc, time::Duration};
 
@@ -281,9 +282,10 @@
     AttemptEnd::Failed(AttemptFailure { response, outcome: outcome.run_outcome(kind), kind })
 }
 
-/// Returns whether a failure that a server answered is worth a further attempt. A server that
-/// fails one request of many is healthy, and the same request succeeds at the next server; a
-/// caller that received the failure would have to send the request again itself.
+/// Returns whether a failure that a server answered is worth a further attempt, and takes that
+/// attempt from the budget for retries after failures. A server that fails one request of many is
+/// healthy, and the same request succeeds at the next server; a caller that received the failure
+/// would have to send the request again itself.
 fn is_worth_retrying(service: &TableService, request: &EntryRequest, status: StatusCode) -> bool {
     status == StatusCode::INTERNAL_SERVER_ERROR
         && service.budget.settings().retries_server_failures
@@ -291,7 +293,8 @@
         && service.failure_budget.take(time_since_start())
 }
 
-/// Returns whether a further attempt would likely meet the response-time goal.
+/// Returns whether a further attempt would likely meet the response-time goal; false for a route
+/// without one.
 fn can_meet_goal(service: &TableService, request: &EntryRequest) -> bool {
     let usual = service.placement.usual_work(request.traits.work, time_since_start());
     request.goal_remaining().is_some_and(|goal| usual <= goal)
--- a/components/proxy/src/body.rs
+++ b/components/proxy/src/body.rs
@@ -1,4 +1,5 @@
-//! Bodies of requests and answers.
+//! Bodies of requests and answers. A body that ends early is an error to its reader, so that a
+//! truncated one never passes as complete.
 
 use std::{
     pin::Pin,
--- a/components/proxy/src/call.rs
+++ b/components/proxy/src/call.rs
@@ -27,7 +27,7 @@
 /// A request for the backend server beside a guard.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct GuardCall {
-    /// Service.
+    /// Service that is to run the request.
     pub(crate) service: Arc<str>,
     /// The chosen process of the server. Another process at the same place refuses the request,
     /// because placement was based on the state of the chosen one.
@@ -36,7 +36,9 @@
     pub(crate) from: Option<Arc<str>>,
     /// Remaining time in microseconds.
     remaining_us: u64,
+    /// Hops of the call, this one included.
     hops: u8,
+    /// Retries of the layers above the guard, those of the entry daemon included.
     retried: u8,
     /// Class of the work.
     pub(crate) class: WorkClass,
@@ -210,7 +212,8 @@
     /// Writes the call into a request's head.
     pub(crate) fn write(&self, headers: &mut HeaderMap) {
         let text = serde_json::to_vec(self).expect("a call of plain fields serializes");
-        let value = HeaderValue::from_bytes(&text).expect("JSON is a valid header value");
+        let value = HeaderValue::from_bytes(&text)
+            .expect("JSON of paths and numbers is a valid header value");
         headers.insert(HeaderName::from_static(CALL_HEADER), value);
     }
 
--- a/components/proxy/src/claim.rs
+++ b/components/proxy/src/claim.rs
@@ -10,8 +10,8 @@
 use async_trait::async_trait;
 use derive_more::Display;
 
-/// Longest wait until it is recorded that a claimed request did not run. After it the refusal is
-/// sent all the same: it is true, and a resend is then answered with "unknown", which is safe.
+/// Longest wait for the record that a claimed request did not run. After it the refusal is sent all
+/// the same: it is true, and a resend is then answered with "unknown", which is safe.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Identifies a keyed request: no two requests that may both run share a key.
--- a/components/proxy/src/context.rs
+++ b/components/proxy/src/context.rs
@@ -22,7 +22,7 @@
     pub peers: PeerClient,
     /// The guard of this daemon.
     pub guard_context: Arc<GuardContext>,
-    /// Counts.
+    /// Counters of requests, as entry daemon and as guard.
     pub counters: Arc<ProxyCounters>,
     /// Largest body of a request, in bytes.
     pub max_body_bytes: u64,
@@ -47,7 +47,7 @@
     /// Where keyed requests are claimed. If there is none, they are refused as not run, because
     /// nothing could distinguish a second copy from the first.
     pub claims: Option<Arc<dyn ClaimGate>>,
-    /// Counts.
+    /// Counters of requests, as entry daemon and as guard.
     pub counters: Arc<ProxyCounters>,
     /// Translation of the headers that the server uses.
     pub headers: Arc<dyn HeaderTranslation>,
--- a/components/proxy/src/counters.rs
+++ b/components/proxy/src/counters.rs
@@ -53,7 +53,8 @@
     /// Answers made by this daemon itself, by reason, as entry daemon and as guard; absent reasons
     /// are zero.
     pub refused: BTreeMap<String, u64>,
-    /// Attempts after the first.
+    /// Retries, which draw on the retry budget; attempts that are moved to another endpoint outside
+    /// it do not count.
     pub retries: u64,
     /// Failed attempts that were not retried because of the retry rules.
     pub retries_denied: u64,
@@ -105,10 +106,12 @@
         self.retries.fetch_add(1, Ordering::Relaxed);
     }
 
+    /// Counts a failed attempt that the retry rules do not allow to be retried.
     pub(crate) fn count_denied(&self) {
         self.retries_denied.fetch_add(1, Ordering::Relaxed);
     }
 
+    /// Counts an answer that ended in an error after its head.
     pub(crate) fn count_cut(&self) {
         self.cut_answers.fetch_add(1, Ordering::Relaxed);
     }
--- a/components/proxy/src/entry.rs
+++ b/components/proxy/src/entry.rs
@@ -52,9 +52,9 @@
     Err(Box::new(daemon_answer(status, RequestOutcome::NotRun, RefusalKind::NotCarried)))
 }
 
-/// Checks that a request has at most one `Idempotency-Key`, and one that can be stored as text.
-/// Keys that differ only in undecodable bytes would count as one, and the second request would be
-/// answered as a copy of the first.
+/// Checks that a request has at most one `Idempotency-Key`, and that this has at most
+/// [`MAX_KEY_BYTES`] and can be stored as text. Keys that differ only in undecodable bytes would
+/// count as one, and the second request would be answered as a copy of the first.
 ///
 /// # Errors
 ///
--- a/components/proxy/src/exchange.rs
+++ b/components/proxy/src/exchange.rs
@@ -1,6 +1,6 @@
-//! One exchange with the local backend server: sends an admitted request and classifies the
-//! answer. An answer is passed on only if it certainly belongs to the request, and what may have
-//! run is never reported as not run.
+//! One exchange with the local backend server: sends an admitted request and classifies the answer.
+//! An answer that is recognised as incomplete or as that of another request does not reach the
+//! caller, and what may have run is never reported as not run.
 
 use std::{sync::Arc, time::Duration};
 
@@ -87,7 +87,8 @@
     }
 }
 
-/// Sends on one connection after the other until one accepts the request.
+/// Sends on one connection after the other until one accepts the request, and evaluates how the
+/// exchange on it ended.
 async fn send_until_taken(
     context: &Arc<GuardContext>,
     server: &Arc<GuardedServer>,
--- a/components/proxy/src/failed_calls.rs
+++ b/components/proxy/src/failed_calls.rs
@@ -14,7 +14,8 @@
 
 /// Number of calls kept: a second's calls of a busy server, and their failures.
 const MAX_CALLS: usize = 512;
-/// Time for which a call is kept: longer than a server takes to give up after it failed.
+/// Time from its start for which a call is kept: longer than a server takes to give up after it
+/// failed.
 const CALL_RETENTION: Duration = Duration::from_secs(10);
 
 /// Identifies a call from its start to its end.
--- a/components/proxy/src/forward.rs
+++ b/components/proxy/src/forward.rs
@@ -149,7 +149,7 @@
     count_own_refusal(context, response)
 }
 
-/// Returns the refusal of a request without a route.
+/// Returns the refusal of a request without a route: 404, or 503 before the first configuration.
 fn refuse_unrouted(context: &ForwardContext, table: &RouteTable) -> Response<ProxyBody> {
     let response = match table.version() {
         0 => refuse(RefusalKind::NoConfiguration),
--- a/components/proxy/src/guard.rs
+++ b/components/proxy/src/guard.rs
@@ -220,7 +220,7 @@
     request: &Request<ProxyBody>,
     call: &GuardCall,
 ) -> QuarantineVerdict {
-    let verdict = context.quarantine.judge(call.fingerprint);
+    let verdict = context.quarantine.classify(call.fingerprint);
     let attempt = context.headers.attempt_id(request.headers());
     let attempt = header_text(attempt);
     let fingerprint = format_args!("{:x}", call.fingerprint);
--- a/components/proxy/src/hints.rs
+++ b/components/proxy/src/hints.rs
@@ -8,7 +8,8 @@
 
 use crate::{clock::whole_micros, headers::read_number};
 
-/// Microseconds from admission to the head of the answer.
+/// Microseconds from admission to the head of the answer, plus those in which an upload arrived
+/// over the guard's link.
 const SERVICE_TIME_HEADER: HeaderName = HeaderName::from_static("x-sapphirekeel-ran-us");
 /// Microseconds from the arrival at the guard to the head of its answer.
 const GUARD_TIME_HEADER: HeaderName = HeaderName::from_static("x-sapphirekeel-held-us");
@@ -72,7 +73,8 @@
     }
 }
 
-/// Writes the time from the first byte of a request's body to the head of its answer.
+/// Writes the service time of a request: the time in which its body arrived over the link, plus the
+/// time from admission to the head of the answer. The wait in the queue is not included.
 pub(crate) fn write_service_time(headers: &mut HeaderMap, took: Duration) {
     headers.insert(SERVICE_TIME_HEADER, whole_micros(took).into());
 }
--- a/components/proxy/src/local.rs
+++ b/components/proxy/src/local.rs
@@ -49,7 +49,7 @@
 pub struct ServerLimits {
     /// Admission; the number of slots is the one that each server announces.
     pub guard: GuardSettings,
-    /// Connections.
+    /// Number of connections and the pace at which they are opened.
     pub pacer: PacerSettings,
 }
 
@@ -129,7 +129,7 @@
                     log::info!(
                         slots = server.endpoint.slots,
                         address:% = server.address;
-                        "guard: server {} of {} is here.", server.endpoint.server, service
+                        "guard: added server {} of {}.", server.endpoint.server, service
                     );
                     self.make_guarded(&server)
                 }
--- a/components/proxy/src/outcome.rs
+++ b/components/proxy/src/outcome.rs
@@ -19,7 +19,8 @@
 /// Whether a request ran, as far as the answering daemon can know.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// No byte of it reached a backend server.
+    /// It did not run: no byte of it reached a backend server, or the server reported that it did
+    /// not run it.
     #[display("not-run")]
     NotRun,
     /// A backend server answered it.
@@ -104,7 +105,7 @@
     Malformed = "malformed",
     /// The body is larger than the settings allow.
     TooLarge = "too-large",
-    /// The call has passed too many daemons.
+    /// The call has taken too many hops; its routes may form a loop.
     HopLimit = "hop-limit",
     /// The guard of the endpoint cannot be reached.
     Unreachable = "unreachable",
--- a/components/proxy/src/peers.rs
+++ b/components/proxy/src/peers.rs
@@ -68,7 +68,7 @@
 #[derive(Clone, Debug, Error)]
 pub(crate) enum PeerConnectError {
     /// The guard does not accept the connection or cannot be reached.
-    #[error("guard does not accept connections: {0}")]
+    #[error("connection failed: {0}")]
     Refused(Arc<io::Error>),
     /// The connection did not open in time.
     #[error("connection did not open in time")]
--- a/components/proxy/src/pool.rs
+++ b/components/proxy/src/pool.rs
@@ -161,8 +161,10 @@
         matches!(tokio::time::timeout(CONNECT_TIMEOUT, connect).await, Ok(Ok(_)))
     }
 
+    /// Opens a connection, which counts against the server's limit until it ends.
     async fn open(self: &Arc<Self>) -> Result<ServerSender, ConnectError> {
-        // Uncounts the connection however this ends, also when the caller leaves meanwhile.
+        // Frees the connection's place under the limit however this ends, also when the caller
+        // leaves meanwhile.
         let open = OpenConnection { pool: self.clone() };
         let connect = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address));
         let stream = connect.await.map_err(|_| ConnectError::Timeout)??;
@@ -182,6 +184,7 @@
         Ok(sender)
     }
 
+    /// Keeps a connection for reuse, unless the pool is closed.
     fn put_idle(&self, sender: ServerSender) {
         let mut state = self.lock();
         if !state.is_closed {
--- a/components/proxy/src/quarantine.rs
+++ b/components/proxy/src/quarantine.rs
@@ -24,8 +24,8 @@
 /// too. They are on the same instance, so it takes well under a millisecond; the rest allows for a
 /// busy machine.
 const CRASH_CHECK_DELAY: Duration = Duration::from_millis(20);
-/// Number of broken connections that prove a server's end, even if another process already accepts
-/// in its place.
+/// Number of broken connections that, if none is left open, prove a server's end even if another
+/// process already accepts in its place.
 const MIN_CRASH_BREAKS: usize = 2;
 
 /// Suspect and quarantined requests of the whole fleet, as far as this daemon knows.
@@ -84,7 +84,7 @@
     }
 
     /// Decides how a request may run.
-    pub(crate) fn judge(&self, fingerprint: Fingerprint) -> QuarantineVerdict {
+    pub(crate) fn classify(&self, fingerprint: Fingerprint) -> QuarantineVerdict {
         match self.is_empty() {
             true => QuarantineVerdict::Clear,
             false => self.lock().classify(fingerprint, unix_time()),
--- a/components/proxy/src/table.rs
+++ b/components/proxy/src/table.rs
@@ -92,7 +92,8 @@
     pub(crate) budget: Arc<RetryBudget>,
     /// The part of it that may follow a server's failure.
     pub(crate) failure_budget: Arc<RetryBudget>,
-    /// Whether the budget was empty at the last check, so that each change is logged once.
+    /// Whether the last decision on a retry found the budget empty, so that each change is logged
+    /// once.
     is_budget_empty: Arc<AtomicBool>,
 }
 
@@ -218,8 +219,8 @@
         self.services.values()
     }
 
-    /// Returns the route of a request: the one with the longest prefix, a named host before any
-    /// host.
+    /// Returns the route of a request: the one with the longest prefix that covers its path, and on
+    /// equal prefixes the one that names the host.
     pub fn find(&self, host: Option<&str>, path: &str) -> Option<RouteMatch<'_>> {
         let host = host.map(str::to_ascii_lowercase);
         let bare = host.as_deref().and_then(|host| host.rsplit_once(':')).map(|(name, _)| name);
@@ -264,7 +265,7 @@
 }
 
 impl TableService {
-    /// Records whether the retry budget is empty, and logs each change.
+    /// Records whether the last decision on a retry found the budget empty, and logs each change.
     pub(crate) fn record_budget_state(&self, is_budget_empty: bool) {
         match self.is_budget_empty.swap(is_budget_empty, Ordering::Relaxed) {
             was if was == is_budget_empty => {}
--- a/components/proxy/src/transfers.rs
+++ b/components/proxy/src/transfers.rs
@@ -1,6 +1,6 @@
-//! Scheduling of large answers of the local backend server, and of uploads to it, on the
-//! instance's link. Large bodies are sent one after the other, so that the link does not deliver
-//! all of them late.
+//! Scheduling of large answers of the local backend server, and of uploads to it, on the instance's
+//! link. Only few large bodies are sent at a time, because a slow link that shares its speed among
+//! all of them would deliver all of them late, and short answers too.
 
 use std::{
     future::Future,
@@ -107,7 +107,7 @@
 struct ScheduledTransfer {
     scheduler: Arc<TransferScheduler>,
     id: TransferId,
-    /// Ends a wait when the permit of a stalled body expires.
+    /// Ends a wait when the permit of another body, which has stalled, expires.
     wait_timer: Option<Pin<Box<Sleep>>>,
     is_whole: bool,
 }
--- a/components/proxy/src/upload.rs
+++ b/components/proxy/src/upload.rs
@@ -50,7 +50,8 @@
 }
 
 impl UploadBody {
-    /// Reads a body, or its first part if it is large. `limit` is the largest body in bytes.
+    /// Reads a body, or its first part if it is large. `limit` is the largest body in bytes, and
+    /// `wait` the longest time for what is read here.
     pub(crate) async fn read(
         request: Request<Incoming>,
         limit: u64,
@@ -153,7 +154,8 @@
     Ok(BodyPrefix::Part(read.freeze()))
 }
 
-/// Reads a body, or its first part if it is large, and counts the rest against the limit.
+/// Reads a body, or its first part if it is large. The rest counts against the limit while it is
+/// sent.
 async fn read_first(body: CheckedBody, limit: u64) -> Result<UploadBody, UploadError> {
     let limit = usize::try_from(limit).unwrap_or(usize::MAX);
     let mut rest = Limited::new(body, limit);
--- a/tests/request_logs.rs
+++ b/tests/request_logs.rs
@@ -148,7 +148,7 @@
     let line = line_where(daemon, |line| line["path"] == "/board/one" && line["status"] == 200);
     assert!(line["tries"].as_str().is_some_and(|tries| tries.starts_with("d1/one ")), "{line}");
     for message in
-        ["server one of /ledvica/queue-board is here", "spread: version 1 from", "daemon: d1 runs"]
+        ["added server one of /ledvica/queue-board", "spread: version 1 from", "daemon: d1 runs"]
     {
         assert!(daemon.printed().contains(message), "{message}");
     }
