--- a/components/ledger/src/check.rs
+++ b/components/ledger/src/check.rs
@@ -1,4 +1,5 @@
-//! Bounds of a request, which are checked before it is processed.
+//! Bounds of a request. They are checked first, so that a request out of bounds is rejected without
+//! a call to the platform.
 
 use sk_model::{
     ChangeRecord, ChangeRequest, ContentHash, SettingBody, SettingPath, UnixMillis, Version,
@@ -65,6 +66,7 @@
     }
 }
 
+/// Checks that a path lies in the subtree of the request's team and that its body is within bounds.
 fn check_write(
     request: &ChangeRequest,
     path: &SettingPath,
--- a/components/ledger/src/error.rs
+++ b/components/ledger/src/error.rs
@@ -121,7 +121,7 @@
         path: SettingPath,
     },
     /// The fleet has as many teams as the head can hold.
-    #[error("team {team} exceeds the largest number of teams")]
+    #[error("team {team} would exceed the largest number of teams")]
     TooManyTeams {
         /// Name of the new team.
         team: TeamName,
--- a/components/ledger/src/head.rs
+++ b/components/ledger/src/head.rs
@@ -8,8 +8,8 @@
 /// Number of records in one history chunk. Chunks start at versions 1, 9, 17 and so on, so that a
 /// reader computes the key of the chunk that holds a version instead of listing the whole history.
 pub const CHUNK_RECORDS: usize = 8;
-/// Largest number of teams of a fleet: 14 times the current number. A thousand teams with the
-/// longest names take a third of a platform value.
+/// Largest number of teams of a fleet: 14 times the 69 of the present one. A thousand teams with
+/// the longest names take a third of a platform value.
 pub const MAX_TEAMS: usize = 1000;
 
 /// A record with the digest of the request that it was made from.
@@ -82,11 +82,12 @@
         self.root.trees.get(team).map_or(0, |tree_ref| tree_ref.version)
     }
 
-    /// Checks that the tail has no gap from the first version of a chunk to the newest version.
+    /// Checks that the tail has no gap from the first version of a chunk to the newest version, and
+    /// that it ends with the change of the root.
     ///
     /// # Errors
     ///
-    /// Returns [`CorruptData::BrokenTail`] if it has one.
+    /// Returns [`CorruptData::BrokenTail`] otherwise.
     pub fn check(&self) -> Result<(), CorruptData> {
         let version = self.root.version;
         let expected_versions = (self.first_version()..=version).collect::<Vec<_>>();
--- a/components/ledger/src/read.rs
+++ b/components/ledger/src/read.rs
@@ -1,4 +1,5 @@
-//! Reads of the objects of the ledger.
+//! Reads of the objects of the ledger. Heads are checked for gaps, subtrees against their hashes
+//! and history chunks for their versions, so that damaged data is reported and never applied.
 
 use std::{sync::Arc, time::Duration};
 
--- a/components/ledger/src/settings.rs
+++ b/components/ledger/src/settings.rs
@@ -8,10 +8,10 @@
     /// Prefix of all keys that the ledger writes. Fleets that share a platform need different
     /// prefixes.
     pub key_prefix: String,
-    /// Number of records in the head above which the oldest move to history. 128 records are half
-    /// a day of changes and 50 KB of head; every reader of the head pays for a longer tail.
+    /// Number of records in the head at which the oldest move to history. 128 records are half a
+    /// day of changes and 50 KB of head; every reader of the head pays for a longer tail.
     pub tail_records: usize,
-    /// Size of the records in the head, in bytes of JSON, above which the oldest move to history.
+    /// Size of the records in the head, in bytes of JSON, at which the oldest move to history.
     /// 256 KB leave room in a platform value of a megabyte for the subtrees of a thousand teams.
     pub tail_bytes: usize,
     /// Largest number of tries of one submit, at least 1. 24 tries suffice for any burst of
--- a/components/ledger/tests/call_counts.rs
+++ b/components/ledger/tests/call_counts.rs
@@ -44,8 +44,8 @@
 }
 
 /// All teams submit at the same moment through as many daemons, and each commit outdates all
-/// others. Without jitter and enough tries, some operators would be rejected without a reason of
-/// their own.
+/// others. Without jitter and enough tries, some operators would be rejected although nothing is
+/// wrong with their changes.
 #[tokio::test]
 async fn all_teams_at_once() {
     let platform = Arc::new(FakeStore::new());
--- a/components/ledger/tests/corrupt_platform.rs
+++ b/components/ledger/tests/corrupt_platform.rs
@@ -19,8 +19,8 @@
     ledger
 }
 
-/// A subtree is edited in the platform by hand. Proxies would apply settings that no operator
-/// submitted.
+/// A subtree is edited in the platform by hand. Without a check of its hash, proxies would apply
+/// settings that no operator submitted.
 #[tokio::test]
 async fn edited_subtree() {
     let store = FaultStore::new(&Arc::default());
@@ -33,8 +33,8 @@
     assert!(matches!(loaded, Err(LedgerError::Corrupt(CorruptData::HashMismatch { .. }))));
 }
 
-/// The platform is empty after a disaster. Version 1 would be assigned a second time, and proxies
-/// at version 2 would go back or never accept it.
+/// The platform is empty after a disaster. Without a check against the known version, version 1
+/// would be assigned a second time, and proxies at version 2 would go back or never accept it.
 #[tokio::test]
 async fn reset_platform() {
     let platform = Arc::new(FakeStore::new());
--- a/components/ledger/tests/lost_answers.rs
+++ b/components/ledger/tests/lost_answers.rs
@@ -57,9 +57,9 @@
     (store, task.await.expect("no panic"))
 }
 
-/// A put is delayed, its caller gives up and tries again, and then the first put arrives. The
-/// change would be in force twice, or would undo what the operator of another team wrote in
-/// between.
+/// A put is delayed, its caller gives up and tries again, and then the first put arrives. Without a
+/// condition on its revision, the change would be in force twice, or would undo what the operator
+/// of another team wrote in between.
 #[tokio::test]
 async fn late_arrival() {
     let second = request("c2", "bor", 0, &[("/two/value", Some(value(1)))]);
@@ -83,8 +83,8 @@
 }
 
 /// A caller sends the same change through two daemons. One is suspended at its put while the other
-/// accepts the change and its record moves to history. The suspended one would report a conflict
-/// although the change is in force.
+/// accepts the change and its record moves to history. Without another look-up of the change, the
+/// suspended one would report a conflict although the change is in force.
 #[tokio::test]
 async fn moved_between_tries() {
     let change = request("c1", "ana", 0, &[("/one/service", Some(service()))]);
--- a/components/model/src/ack.rs
+++ b/components/model/src/ack.rs
@@ -19,7 +19,7 @@
 
 /// A proxy's own acknowledgement of the version that it applies.
 ///
-/// Reports show a version as "in force" on the strength of this record alone.
+/// Nothing but this record makes a report show a version as "in force".
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct ProxyAck {
     /// The proxy that acknowledges.
--- a/components/model/src/declaration.rs
+++ b/components/model/src/declaration.rs
@@ -13,8 +13,8 @@
 
 use crate::{ServiceName, TextPosition};
 
-/// Largest accepted declaration, in bytes. A team with a thousand settings still fits one platform
-/// value.
+/// Largest accepted declaration, in bytes. Settings are usually far smaller, so that a team with a
+/// thousand of them still fits one platform value.
 pub const MAX_DECLARATION_BYTES: usize = 64 * 1024;
 /// Longest deadline that a route may set, in milliseconds. Longer work belongs in a job queue, not
 /// in a call.
@@ -24,7 +24,7 @@
 /// Allowed numbers of servers that one request may be sent to. A request cannot try more replicas
 /// within its deadline, and further attempts only feed an overload.
 const ALLOWED_MAX_ATTEMPTS: std::ops::RangeInclusive<u8> = 1..=16;
-/// Smallest allowed bound on request heads, in bytes. Ordinary clients stay below it.
+/// Smallest allowed bound on request heads, in bytes. The heads of ordinary clients are smaller.
 const MIN_HEAD_BYTES: u64 = 1024;
 /// Shortest allowed timeout for a caller to send a head or to stay idle, in milliseconds. A round
 /// trip between continents takes longer than a shorter timeout.
--- a/components/model/src/path.rs
+++ b/components/model/src/path.rs
@@ -1,4 +1,5 @@
-//! Paths of settings and the team that each belongs to.
+//! Paths of settings and the team that each belongs to. The first segment names the team, so that a
+//! change of one team cannot touch the settings of another.
 
 use thiserror::Error;
 
--- a/components/report/src/ack_buffer.rs
+++ b/components/report/src/ack_buffer.rs
@@ -24,7 +24,9 @@
 /// long does not write everything it missed in one burst.
 const MAX_FLUSHED_VERSIONS: usize = 16;
 
+/// Acknowledgements by proxy.
 type AckMap = BTreeMap<ProxyId, ProxyAck>;
+/// Times at which proxies put a version in force, by version and data centre.
 type TimesByVersion = BTreeMap<(Version, DataCentre), InForceTimes>;
 
 /// Reason why reports cannot be read or stored.
@@ -49,6 +51,7 @@
     },
 }
 
+/// Acknowledgements and times that are not stored yet.
 #[derive(Default)]
 struct PendingAcks {
     acks: BTreeMap<DataCentre, AckMap>,
--- a/components/report/src/change.rs
+++ b/components/report/src/change.rs
@@ -64,6 +64,7 @@
     }
 }
 
+/// Returns the delays from acceptance, or `None` if no proxy has put the version in force.
 fn summarise_delays(times: &InForceTimes, accepted_at: UnixMillis) -> Option<DelaySummary> {
     // A proxy whose clock is behind that of the accepting daemon seems to be early; its delay
     // counts as zero.
--- a/components/report/src/fleet.rs
+++ b/components/report/src/fleet.rs
@@ -1,4 +1,6 @@
-//! The report on the versions of all proxies.
+//! The report on the versions of all proxies. A version counts as in force only at a proxy whose
+//! current process has acknowledged it, so that a restarted proxy is not shown with the version of
+//! its predecessor.
 
 use std::collections::BTreeMap;
 
@@ -69,8 +71,8 @@
     pub in_force: usize,
     /// Number of all proxies known to membership.
     pub total: usize,
-    /// Milliseconds from acceptance to the last acknowledgement, by the clocks of the accepting
-    /// daemon and the proxies; absent until every proxy has acknowledged.
+    /// Milliseconds from acceptance until the last proxy put the version in force, by the clocks of
+    /// the accepting daemon and the proxies; absent until every proxy has acknowledged it.
     pub convergence_ms: Option<u64>,
     /// Proxies known to membership.
     pub proxies: Vec<ProxyReport>,
@@ -118,6 +120,8 @@
     }
 }
 
+/// Returns the entry of a proxy that membership knows, with the state that its acknowledgement
+/// shows.
 fn report_known_proxy(
     newest: Version,
     proxy: &ProxyId,
@@ -135,6 +139,7 @@
     build_report(proxy, &known.data_centre, ack, state)
 }
 
+/// Returns the entry of a proxy in a given state.
 fn build_report(
     proxy: &ProxyId,
     data_centre: &DataCentre,
--- a/components/spread/schema/peer.capnp
+++ b/components/spread/schema/peer.capnp
@@ -3,7 +3,7 @@
 # Control protocol between daemons. Regenerate the Rust code as docs/DESIGN.md describes.
 
 interface Gate {
-  # Interface for any process that connects. It only allows to prove the shared secret.
+  # Interface for any process that connects. It serves only to prove the shared secret.
   challenge @0 () -> (nonce :Data);
   enter @1 (nonce :Data, proof :Data, proxy :Text, peer :Peer) -> (proof :Data, proxy :Text, peer :Peer);
   # Proves the secret. Each side sends its name and an interface for calls in its direction over the
--- a/components/spread/src/acks.rs
+++ b/components/spread/src/acks.rs
@@ -1,6 +1,6 @@
-//! Acknowledgements: each daemon reports its version to the relays of its data centre, which pass
-//! the reports on in batches. A relay that did not accept one is retried, so that no report is
-//! lost.
+//! Acknowledgements: each daemon reports its version to the relays of its data centre, which batch
+//! the reports and pass them on to be stored in the platform. A relay that did not accept one is
+//! retried, so that no report is lost.
 
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
@@ -24,7 +24,7 @@
 /// The same after the relays changed, when every daemon reports its version to the new one. Nobody
 /// waits for these reports, and a relay that has just taken over has other work.
 const MAX_REACK_DELAY: Duration = Duration::from_secs(1);
-/// Bound of the first pause after a relay did not accept an acknowledgement.
+/// Upper bound of the first pause after a relay did not accept an acknowledgement.
 const FIRST_PAUSE: Duration = Duration::from_millis(500);
 /// Longest pause after a relay did not accept an acknowledgement.
 const LONGEST_PAUSE: Duration = Duration::from_secs(5);
--- a/components/spread/src/config_holder.rs
+++ b/components/spread/src/config_holder.rs
@@ -1,6 +1,6 @@
-//! The configuration that a daemon holds: the version in force, and the newest valid version
-//! before the daemon is ready. Versions are swapped as a whole and never replaced by an older one,
-//! so that routes never move back and never mix two versions.
+//! The configuration that a daemon holds: the version in force, and the newest valid version, which
+//! waits until the daemon is ready. Versions are swapped as a whole and never replaced by an older
+//! one, so that routes never move back and never mix two versions.
 
 use std::{
     collections::VecDeque,
@@ -177,7 +177,7 @@
         self.state().last_rejected == Some((version, hash_prefix))
     }
 
-    /// Records a rejected version for peers and for the status.
+    /// Records a rejected version in the status, and for [`was_rejected`](Self::was_rejected).
     fn reject(
         &self,
         state: &mut HolderState,
--- a/components/spread/src/connect.rs
+++ b/components/spread/src/connect.rs
@@ -145,6 +145,7 @@
     });
 }
 
+/// RPC system, shared state and byte allowance of one connection.
 type SessionParts = (RpcSystem<Side>, SharedConnectionState, Arc<ByteAllowance>);
 
 /// Prepares the RPC system of one connection with byte counting and message limits.
@@ -226,7 +227,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if the call fails, or if nothing arrives from the member for `silence_limit`.
+    /// Fails if the member cannot be reached or answers with an error, if nothing arrives from it
+    /// for `silence_limit`, or if the call takes longer than [`MAX_CALL_TIME`].
     pub(crate) async fn call<T>(
         self: &Rc<Self>,
         proxy: &str,
--- a/components/spread/src/counted.rs
+++ b/components/spread/src/counted.rs
@@ -88,7 +88,8 @@
     }
 }
 
-/// A stream that counts its bytes, and bounds them until its peer has authenticated.
+/// A stream that counts its bytes, and bounds the received ones until its peer has authenticated.
+/// Reads fail once the allowance is used up, which ends the connection.
 pub(crate) struct CountedStream {
     stream: TcpStream,
     meter: Arc<ControlMeter>,
--- a/components/spread/src/driver.rs
+++ b/components/spread/src/driver.rs
@@ -1,5 +1,5 @@
 //! Starts and stops the control thread, and connects its tasks. The thread has its own runtime, so
-//! that neither requests nor control traffic delay each other.
+//! that requests and control traffic do not delay each other.
 
 use std::{
     cell::{Cell, RefCell},
@@ -168,7 +168,7 @@
     }
 }
 
-/// Runs all tasks of the control thread; they end only when the thread is stopped.
+/// Runs all tasks of the control thread until it is stopped.
 async fn run_tasks(
     options: SpreadOptions,
     listener: std::net::TcpListener,
@@ -255,7 +255,7 @@
         match listener.accept().await {
             Ok((stream, _)) => serve_session(node, stream),
             Err(err) => {
-                log::warn!("spread: cannot accept: {err}.");
+                log::warn!("spread: cannot accept a connection: {err}.");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
--- a/components/spread/src/fetch.rs
+++ b/components/spread/src/fetch.rs
@@ -1,6 +1,6 @@
-//! Fetches a version that a peer holds, with retries at other peers. Fetches run one at a time, and
-//! one prompted by a heartbeat waits for a grace period, so that a version is not transferred twice
-//! when the tree delivers it as well.
+//! Fetches a version that a peer holds, with retries at other peers. Queued fetches run one at a
+//! time, and one prompted by a heartbeat waits for a grace period, so that a version is not
+//! transferred twice when the tree delivers it as well.
 
 use std::{rc::Rc, time::Duration};
 
@@ -24,7 +24,7 @@
 
 /// Tries of one fetch before the version is left to the next reconciliation.
 const MAX_TRIES: usize = 6;
-/// Bound of the first pause after a failed try.
+/// Upper bound of the first pause after a failed try.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
 /// Longest pause after a failed try. It keeps all tries within a few seconds.
 const LONGEST_PAUSE: Duration = Duration::from_secs(1);
@@ -71,8 +71,9 @@
         }
     }
 
-    /// Compares a peer's version from a heartbeat or a reconciliation with the held one, and
-    /// schedules a fetch in case the tree does not deliver it.
+    /// Compares a peer's version from a heartbeat or a reconciliation with the held one. Schedules
+    /// a fetch of a newer version in case the tree does not deliver it, and reports different
+    /// content under the same version.
     pub(crate) fn record_version(
         self: &Rc<Self>,
         from: &str,
@@ -177,7 +178,7 @@
             fetch_answer::Update(update) => codec::read_update(update?)?,
         };
         let snapshot = apply_update(base, update).map_err(|err| {
-            log::warn!("spread: cannot apply a fetch from {from}: {err}.");
+            log::warn!("spread: cannot apply the update fetched from {from}: {err}.");
             Error::failed(err.to_string())
         })?;
         match self.offer(snapshot, from, origin.clone()) {
@@ -194,8 +195,8 @@
     }
 }
 
-/// Retries until the version is held: first at the peer that holds it, then at random daemons of
-/// the data centre, as the first peer may have died since.
+/// Tries at most [`MAX_TRIES`] times, until the version is held or rejected: first at the peer that
+/// holds it, then at random daemons of the data centre, as the first peer may have died since.
 async fn fetch_version(node: &Rc<SpreadNode>, task: FetchTask) {
     let mut pause = RetryPause::new(FIRST_PAUSE, LONGEST_PAUSE);
     let mut from = task.from;
--- a/components/spread/src/join.rs
+++ b/components/spread/src/join.rs
@@ -19,7 +19,7 @@
 /// Maximum number of addresses tried at once. Lists may name a whole fleet; a few that answer are
 /// enough.
 const MAX_ADDRESSES: usize = 8;
-/// Bound of the first pause between tries while no other daemon is known.
+/// Upper bound of the first pause between tries while no other daemon is known.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
 /// Longest pause between tries while no other daemon is known.
 const LONGEST_PAUSE: Duration = Duration::from_secs(2);
--- a/components/spread/src/links.rs
+++ b/components/spread/src/links.rs
@@ -1,5 +1,5 @@
 //! Links to the neighbours in the overlay: heartbeats, and rumors (changed records and suspicions)
-//! sent as they arise. Without links every change would have to wait for a periodic
+//! sent as they arise. Without links every change of a record would have to wait for a periodic
 //! reconciliation.
 
 use std::{
@@ -86,10 +86,10 @@
         beat.get_members() == self.member_hash()
     }
 
-    /// Adopts a peer's freshness proof. It proves that the peer's version was the newest one, so
-    /// it also holds here if that version or a later one is held. The heartbeat's `looker` is the
-    /// hashed name of the daemon that read the source, and `history` the position in the source's
-    /// history known to it.
+    /// Adopts a peer's freshness proof. The proof says that the peer's version was the newest one,
+    /// so it is also valid here if this daemon holds that version or a later one. The heartbeat's
+    /// `looker` is the hashed name of the daemon that read the source, and `history` the position
+    /// in the source's history known to it.
     fn adopt_proof(&self, beat: beat::Reader<'_>, written_after: Instant) {
         let age = Duration::from_millis(beat.get_source_age_millis().into());
         let is_known = beat.get_source_age_millis() != UNKNOWN_AGE;
--- a/components/spread/src/neighbours.rs
+++ b/components/spread/src/neighbours.rs
@@ -1,5 +1,6 @@
 //! Applies the decisions of the liveness monitor: suspicions, daemons declared gone, and the
-//! recovery after a pause of this process.
+//! recovery after a pause of this process, which no longer knows whether its backend servers still
+//! run.
 
 use std::{rc::Rc, time::Duration};
 
--- a/components/spread/src/node.rs
+++ b/components/spread/src/node.rs
@@ -125,7 +125,7 @@
     ///
     /// The second relay of a data centre receives each version from the platform itself and is an
     /// inner node of the first relay's tree. If it ignored the push, its children there would get
-    /// the version only from its own announcement, about 300 ms after all others.
+    /// the version only from the second relay's own announcement, about 300 ms after all others.
     pub(crate) fn forward_known(
         &self,
         base: Version,
--- a/components/spread/src/options.rs
+++ b/components/spread/src/options.rs
@@ -5,8 +5,9 @@
 
 use sk_member::PollOptions;
 
-/// Delay between one standby daemon and the next before each takes over watching the source. One
-/// read of the source takes milliseconds, and its success is sent to the neighbours at once.
+/// Time by which each daemon waits longer than the one that precedes it before it takes over
+/// watching the source. One read of the source takes milliseconds, and its success is sent to the
+/// neighbours at once.
 const TAKEOVER_STEP: Duration = Duration::from_millis(100);
 
 /// How a daemon forwards a new version.
--- a/components/spread/src/rumors.rs
+++ b/components/spread/src/rumors.rs
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Merges records and returns those that were new. The own record, if it was raised to refute
-    /// one, is sent by `send_own_record`.
+    /// Merges records and returns those that were new. If the own record was raised to refute one
+    /// of them, `send_own_record` sends it.
     fn merge_records(&self, records: Vec<MemberRecord>) -> Vec<Arc<MemberRecord>> {
         let own = &self.own_name;
         let merge = |table: &mut MemberTable| {
@@ -137,7 +137,7 @@
         incarnation = record.incarnation,
         sequence = record.sequence,
         servers = servers.join("; ").as_str();
-        "spread: {} joined or changed its status or servers.", record.proxy
+        "spread: {} joined, restarted, or changed its status or servers.", record.proxy
     );
 }
 
--- a/components/spread/src/server.rs
+++ b/components/spread/src/server.rs
@@ -224,7 +224,7 @@
         Ok(snapshot) => drop(node.offer(snapshot, from, origin)),
         // The base is not held here, usually after a pause, so the difference is fetched instead.
         Err(err) => {
-            log::debug!("spread: cannot apply a push from {from}: {err}.");
+            log::debug!("spread: cannot apply the update pushed by {from}: {err}.");
             node.queue_fetch(FetchTask { version, hash_prefix, from: from.to_owned(), origin });
         }
     }
--- a/components/spread/src/start.rs
+++ b/components/spread/src/start.rs
@@ -1,7 +1,7 @@
 //! Readiness at start: a daemon serves only once it holds at least the highest version that the
 //! platform or its peers know. Otherwise a restarted process could put an older version in force
-//! than its predecessor. It asks the relays first and reads the platform only if they cannot
-//! answer.
+//! than its predecessor. It asks the relays first, and reads the platform only if they cannot
+//! confirm a version, if it is a relay itself, or if there is no address of another daemon.
 
 use std::{rc::Rc, time::Duration};
 
@@ -22,16 +22,16 @@
 /// relay and reads the platform. When a whole fleet restarts, each daemon is a relay in its own
 /// first view.
 const RELAY_STABLE_TIME: Duration = Duration::from_millis(600);
-/// Bound of the first pause between rounds of asking.
+/// Upper bound of the first pause between rounds of asking.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
 /// Longest pause between rounds of asking while the platform answers.
 const LONGEST_PAUSE: Duration = Duration::from_secs(1);
 /// Mean pause between reads of the platform while the relays answer but are not ready themselves.
-/// Only their connection to the platform may be cut, so this daemon has to read; but after an
+/// Perhaps only their connection to the platform is cut, so this daemon has to read; but after an
 /// outage in which everything restarted, hundreds of daemons are in this state, and each one that
 /// reads holds nothing yet and reads the whole configuration.
 const FALLBACK_READ_PAUSE: Duration = Duration::from_secs(10);
-/// Upper bound of that pause as a multiple of the start window, for fleets with a short window.
+/// Upper bound of [`FALLBACK_READ_PAUSE`] in start windows, for fleets with a short window.
 const FALLBACK_READ_WINDOWS: u32 = 5;
 /// Longest pause between rounds while the platform is unreachable and no reachable peer knows a
 /// version.
@@ -125,7 +125,7 @@
             return;
         }
         if let Err(err) = node.fetch(&other.proxy, false, &VersionOrigin::Found).await {
-            log::debug!("spread: {} cannot be asked: {err}.", other.proxy);
+            log::debug!("spread: cannot fetch the version of {}: {err}.", other.proxy);
         }
     }
 }
@@ -145,7 +145,7 @@
         let reply = match node.fetch(&relay.proxy, true, &VersionOrigin::Found).await {
             Ok(reply) => reply,
             Err(err) => {
-                log::debug!("spread: {} cannot be asked: {err}.", relay.proxy);
+                log::debug!("spread: cannot fetch from relay {}: {err}.", relay.proxy);
                 continue;
             }
         };
--- a/components/spread/src/watch.rs
+++ b/components/spread/src/watch.rs
@@ -18,12 +18,12 @@
     tasks::{ConfirmOutcome, VersionOrigin},
 };
 
-/// Bound of the first pause after the source failed.
+/// Upper bound of the first pause after the source failed.
 const FIRST_PAUSE: Duration = Duration::from_millis(250);
-/// Longest pause after the source failed, for the daemon that is first in order, and longest wait
-/// before a daemon checks its turn again. With 18 relays it means 36 calls a second at an
-/// unreachable source, 1/50 of its rate limit, and a delay of at most one second once it is back: a
-/// version must be in force 2 seconds after its acknowledgement.
+/// Longest pause after the source failed, for a relay; also the wait of a daemon that is not in the
+/// order, for example while it leaves, before it checks again. With 18 relays it means 36 calls a
+/// second at an unreachable source, 1/50 of its rate limit, and a delay of at most one second once
+/// it is back: a version must be in force 2 seconds after its acknowledgement.
 const LONGEST_PAUSE: Duration = Duration::from_secs(1);
 /// Time in which a read of the source waits for more requests to share it. The start of a single
 /// daemon is delayed by it.
@@ -112,7 +112,8 @@
         }
     }
 
-    /// Starts a turn of watching, in place of daemons that failed to if this is no relay.
+    /// Starts a turn of watching. A daemon that is no relay does so in place of those that failed
+    /// to read the source.
     fn begin_turn(&mut self, node: &SpreadNode) {
         if std::mem::replace(&mut self.is_watching, true) {
             return;
--- a/components/spread/tests/common/mod.rs
+++ b/components/spread/tests/common/mod.rs
@@ -106,7 +106,9 @@
 pub struct FakePlatform {
     newest: watch::Sender<Arc<ConfigSnapshot>>,
     is_down: AtomicBool,
+    /// Number of loads so far.
     pub reads: AtomicUsize,
+    /// Number of watches so far.
     pub waits: AtomicUsize,
     contacts: Mutex<ContactMap>,
 }
@@ -271,6 +273,7 @@
 #[derive(Default)]
 pub struct FakeSink {
     acks: Mutex<BTreeMap<String, ProxyAck>>,
+    /// Number of acknowledgements received so far.
     pub noted: AtomicUsize,
 }
 
--- a/components/spread/tests/herd_start.rs
+++ b/components/spread/tests/herd_start.rs
@@ -13,8 +13,9 @@
     (0..FLEET).map(start).collect()
 }
 
-/// Guards against a rollout that exhausts the platform's rate limit: it restarts all daemons of a
-/// data centre within a second, and in a larger fleet each of them must not read the platform.
+/// Guards against a rollout that exhausts the platform's rate limit. It restarts all daemons of a
+/// data centre within a second; if each of them read the platform, a larger fleet would exceed the
+/// limit just when every daemon waits for an answer.
 #[test]
 fn few_reads() {
     let fleet = TestFleet::new();
--- a/components/spread/tests/overlapping_updates.rs
+++ b/components/spread/tests/overlapping_updates.rs
@@ -63,9 +63,9 @@
     wait_for("the newest everywhere", || all_hold(&daemons, version));
 }
 
-/// Guards against a data centre that loses its connection to the platform but not to its peers:
-/// its relays cannot see a change that all others have in force, so the daemon that learns of it
-/// first must forward it.
+/// Guards against old routes in a data centre that loses its connection to the platform but not to
+/// its peers: its relays cannot see a change that all others have in force, so the daemon that
+/// learns of it first must forward it.
 #[test]
 fn cut_data_centre() {
     let fleet = TestFleet::new();
--- a/components/spread/tests/relays_away.rs
+++ b/components/spread/tests/relays_away.rs
@@ -36,8 +36,8 @@
     fleet.accept(4);
 }
 
-/// Guards against a refusal of most daemons of each data centre, including the first two choices:
-/// the last daemon is the only one there that can learn of a version.
+/// Guards against a missed version when the platform refuses most daemons of each data centre,
+/// including the first two choices: only the last daemon there can learn of it.
 #[test]
 fn most_refused() {
     let fleet = AccessFleet::start();
@@ -47,8 +47,8 @@
     fleet.accept(3);
 }
 
-/// Guards against a data centre that cannot reach the platform while its peers elsewhere can: it
-/// must get new routes as soon as the others.
+/// Guards against old routes in a data centre that cannot reach the platform while its peers
+/// elsewhere can: it must get new routes as soon as the others.
 #[test]
 fn one_centre_refused() {
     let fleet = AccessFleet::start();
--- a/components/spread/tests/source_outage.rs
+++ b/components/spread/tests/source_outage.rs
@@ -7,8 +7,9 @@
 use common::{FakePlatform, TestFleet, all_hold, numbered, wait_for};
 use sk_spread::SpreadOptions;
 
-/// Guards against the effects of an outage: daemons keep the version they hold, one that restarts
-/// gets it from its peers, and a change accepted afterwards comes into force everywhere.
+/// Guards against an outage of the platform that changes what daemons serve: they keep the version
+/// they hold, one that restarts gets it from its peers, and a change accepted afterwards comes into
+/// force everywhere.
 #[test]
 fn outage_and_return() {
     let fleet = TestFleet::new();
@@ -76,8 +77,9 @@
     assert!(took.as_secs() < 11, "took {took:?}");
 }
 
-/// Guards against a daemon that cannot reach the platform while its peers can: without the peers
-/// it would never become ready, or would serve something older than it served before.
+/// Guards against a daemon that waits for its own connection to the platform while its peers are
+/// connected: without their versions it would never become ready, or would serve something older
+/// than it served before.
 #[test]
 fn own_connection_cut() {
     let fleet = TestFleet::new();
--- a/components/store/src/fault.rs
+++ b/components/store/src/fault.rs
@@ -192,6 +192,7 @@
         written
     }
 
+    /// Makes a write under the fault planned for it.
     async fn write_with_fault(
         &self,
         key: &str,
--- a/components/store/src/http_store.rs
+++ b/components/store/src/http_store.rs
@@ -29,7 +29,8 @@
         Self { caller: HttpCaller::new(address), timeout }
     }
 
-    /// Makes a call that must succeed and returns the body of its answer.
+    /// Makes a writing call and returns the body of its answer, or the error that its status stands
+    /// for.
     async fn call_write(
         &self,
         method: Method,
