--- a/tests/accept_faults.rs
+++ b/tests/accept_faults.rs
@@ -121,7 +121,11 @@
     fleet.set_faults("{\"is_down\": true}");
     let output = fleet.apply(0, &folder, "ana");
     assert_eq!(output.status.code(), Some(1), "{}", render_output(&output));
-    assert!(render_output(&output).contains("come back"), "{}", render_output(&output));
+    assert!(
+        render_output(&output).contains("not accepted; retry at "),
+        "{}",
+        render_output(&output)
+    );
     fleet.set_faults("{}");
     let output = fleet.apply(0, &folder, "ana");
     assert!(output.status.success(), "{}", render_output(&output));
