--- a/components/decide/src/transfer_queue.rs
+++ b/components/decide/src/transfer_queue.rs
@@ -33,7 +33,7 @@
 pub enum TransferPermit {
     /// Its next bytes may be sent.
     Granted,
-    /// It waits; to be asked again when another ends, or after this time.
+    /// It waits; request again when another body ends, or after this time.
     Wait(Duration),
 }
 
--- a/components/decide/tests/placing_rules.rs
+++ b/components/decide/tests/placing_rules.rs
@@ -64,13 +64,13 @@
 #[test]
 fn ejection_limit() {
     let now = seconds(1);
-    for (count, most) in [(1, 0), (2, 1), (3, 1), (5, 1), (6, 2), (7, 2)] {
+    for (count, max_ejected) in [(1, 0), (2, 1), (3, 1), (5, 1), (6, 2), (7, 2)] {
         let records: Vec<_> = (0..count).map(record).collect();
         let table = table(&records, now);
         for id in 0..count {
             (0..6).for_each(|_| fail(&table, id, CallOutcome::Failure, now));
         }
-        assert_eq!(ejected_count(&table, now), most, "{count} endpoints");
+        assert_eq!(ejected_count(&table, now), max_ejected, "{count} endpoints");
     }
 }
 
--- a/components/member/src/heartbeat.rs
+++ b/components/member/src/heartbeat.rs
@@ -65,7 +65,8 @@
     heard_at: Duration,
 }
 
-/// The processes of backend servers that sent heartbeats, by server name.
+/// Separates current heartbeats of backend servers from stale ones, by the last known state of
+/// each process.
 ///
 /// A heartbeat may arrive seconds late: after its process reported that it leaves, or after
 /// another process took over its address. Accepting it would send callers to a server that has
--- a/components/member/tests/rumor_spread.rs
+++ b/components/member/tests/rumor_spread.rs
@@ -20,8 +20,8 @@
 /// Prints how long a change took to spread, and the largest number of messages that one daemon
 /// sent for it.
 fn report(change: &str, time: Duration, network: &mut MemberNetwork) {
-    let most = std::mem::take(&mut network.sent).into_values().max();
-    println!("{change}: {time:?}, at most {most:?} messages sent by one");
+    let max_sent = std::mem::take(&mut network.sent).into_values().max();
+    println!("{change}: {time:?}, at most {max_sent:?} messages sent by one");
 }
 
 /// Ends a process and returns the time until all others count it as gone.
--- a/components/spread/tests/herd_start.rs
+++ b/components/spread/tests/herd_start.rs
@@ -31,8 +31,8 @@
     // The naive start takes at least one read per daemon.
     let reads = fleet.platform.reads.load(Ordering::SeqCst);
     let by = |daemon: &TestDaemon| daemon.handle.reader().state().source_reads;
-    let most = daemons.iter().chain([&first]).map(by).max().unwrap_or_default();
-    println!("{most} reads by the busiest, {reads} reads for {FLEET} daemons in {took:?}");
+    let max_reads = daemons.iter().chain([&first]).map(by).max().unwrap_or_default();
+    println!("{max_reads} reads by the busiest, {reads} reads for {FLEET} daemons in {took:?}");
     assert!(reads <= FLEET / 4, "{reads} reads for {FLEET} daemons");
 }
 
