--- a/components/spread/src/join.rs
+++ b/components/spread/src/join.rs
@@ -1,6 +1,6 @@
 //! Joining the fleet through the seeds in the settings and the contacts stored in the platform.
-//! Daemons that never find each other would each hold their own view of members and servers, so
-//! joining is retried until another daemon is known, and addresses outside the fleet's view are
+//! Daemons that never find each other would each know different members and servers, so joining
+//! is retried until another daemon is known, and addresses that belong to no present member are
 //! tried from time to time.
 
 use std::{collections::BTreeSet, net::SocketAddr, rc::Rc, time::Duration};
--- a/components/spread/src/repair.rs
+++ b/components/spread/src/repair.rs
@@ -14,9 +14,9 @@
 
 /// Reconciles version and records with a random member of any data centre, repeatedly.
 ///
-/// This covers what the faster mechanisms miss: daemons whose views differ compute different
-/// trees, and two data centres that were partitioned may each hold what the other lacks. The
-/// jitter keeps daemons that started within one second from staying synchronised.
+/// This covers what the faster mechanisms miss: daemons whose snapshots of the members differ
+/// compute different trees, and two data centres that were partitioned may each hold what the
+/// other lacks. The jitter keeps daemons that started within one second from staying synchronised.
 pub(crate) async fn reconcile_repeatedly(node: &Rc<SpreadNode>) {
     loop {
         tokio::time::sleep(jittered(node.options.repair_interval)).await;
--- a/components/spread/src/server.rs
+++ b/components/spread/src/server.rs
@@ -164,8 +164,9 @@
     ) -> Result<(), Error> {
         let (node, _) = self.require_session()?;
         let request = params.get()?.get_request()?;
-        // When a whole fleet restarts, each daemon is a relay in its own first view. A daemon that
-        // is not ready has not read the platform itself yet, and would read it for every caller.
+        // When a whole fleet restarts, each daemon is a relay in its own first snapshot of the
+        // members. A daemon that is not ready has not read the platform itself yet, and would read
+        // it for every caller.
         let is_relay = node.config.is_ready() && node.relays.borrow().rank.is_some();
         let confirmation = match request.get_confirm() && is_relay {
             true => Some(node.confirm_newest().await),
--- a/components/spread/src/start.rs
+++ b/components/spread/src/start.rs
@@ -20,7 +20,7 @@
 
 /// Time for which the relays must have stayed the same before a starting daemon treats itself as a
 /// relay and reads the platform. When a whole fleet restarts, each daemon is a relay in its own
-/// first view.
+/// first snapshot of the members.
 const RELAY_STABLE_TIME: Duration = Duration::from_millis(600);
 /// Upper bound of the first pause between rounds of asking.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
