--- a/components/proxy/src/peers.rs
+++ b/components/proxy/src/peers.rs
@@ -43,7 +43,7 @@
 const PING_TIMEOUT: Duration = Duration::from_secs(3);
 /// Idle time after which a connection is closed when another is opened, so that a daemon does not
 /// keep a connection to each other daemon forever.
-const MAX_IDLE: Duration = Duration::from_secs(60);
+const PEER_IDLE_LIMIT: Duration = Duration::from_secs(60);
 /// Largest head of an answer, in bytes.
 const MAX_HEAD_BYTES: u32 = 64 * 1024;
 /// Bytes in flight of one answer. Bounds the memory that a slow caller occupies here, and the
@@ -221,7 +221,7 @@
 
     fn is_idle(&self) -> bool {
         let used = Duration::from_micros(self.used_us.load(Ordering::Relaxed));
-        time_since_start().saturating_sub(used) >= MAX_IDLE
+        time_since_start().saturating_sub(used) >= PEER_IDLE_LIMIT
     }
 }
 
--- a/components/proxy/tests/keyed_claims.rs
+++ b/components/proxy/tests/keyed_claims.rs
@@ -114,7 +114,7 @@
 /// the claim. The claim is released, the retry at another daemon is granted, and the caller
 /// notices nothing.
 #[tokio::test(flavor = "multi_thread")]
-async fn claim_released() {
+async fn claim_freed_for_retry() {
     let (mut fleet, _) = start_claimed(2).await;
     fleet.backends[0].kill().await;
     for number in 0..10 {
